--- a/src/main/java/eiderscale/net/Acceptor.java
+++ b/src/main/java/eiderscale/net/Acceptor.java
@@ -11,30 +11,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts clients' connections. Where a call to accept fails it is made again after a moment, and the listening
- * socket is closed only once nothing can be waiting there that a failure held up.
+ * Accepts client connections. A failed accept call is retried after a short delay, and the listening socket is closed
+ * only once no connection can be left in the accept queue because of such a failure. All methods are to be called on
+ * the event loop.
  */
 @ChannelHandler.Sharable
 final class Acceptor extends ChannelInboundHandlerAdapter {
-    /** Hears of each connection before it is registered, to set it up. */
+    /** Called with each accepted connection before it is registered, to set up its pipeline. */
     interface Listener {
-        void onAccepted(ListeningChannel.Accepted channel);
+        void onAccepted(ListeningChannel.AcceptedChannel channel);
     }
 
-    private static final int BACKLOG = 1024;
-    private static final int ACCEPTS_AT_ONCE = 256;
-    private static final int RETRY_MS = 5;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAX_ACCEPTS_PER_READ = 256;
+    private static final int RETRY_DELAY_MS = 5;
 
-    /** {@code PAUSED}: until a timer ends it, as a call to accept failed. */
-    private enum State { LISTENING, PAUSED, CLOSED }
+    private enum State {
+        LISTENING,
+        /** An accept call failed and is retried when a timer fires. */
+        PAUSED,
+        CLOSED
+    }
 
     private final EventLoop loop;
     private final Counters counters;
     private final Listener listener;
-    private InetSocketAddress address;
+    private InetSocketAddress bindAddress;
     private ListeningChannel channel;
     private State state = State.LISTENING;
-    private boolean closing;
+    private boolean isClosing;
 
     Acceptor(EventLoop loop, Counters counters, Listener listener) {
         this.loop = loop;
@@ -42,49 +47,50 @@
         this.listener = listener;
     }
 
-    /** Begins to listen; may be called again after it failed. To be called on the loop, as all of this class. */
-    ChannelFuture listen(InetSocketAddress at) {
-        address = at;
-        ListeningChannel fresh = open();
-        channel = fresh;
-        loop.register(fresh);
-        ChannelFuture bound = fresh.bind(at);
+    /** Binds the listening socket; may be called again after a failure. */
+    ChannelFuture listen(InetSocketAddress bindAddress) {
+        this.bindAddress = bindAddress;
+        ListeningChannel newChannel = openChannel();
+        channel = newChannel;
+        loop.register(newChannel);
+        ChannelFuture bound = newChannel.bind(bindAddress);
         bound.addListener(done -> {
             if (!done.isSuccess()) {
-                fresh.close();
+                newChannel.close();
             }
         });
         return bound;
     }
 
-    private ListeningChannel open() {
-        ListeningChannel fresh = new ListeningChannel(counters);
+    private ListeningChannel openChannel() {
+        ListeningChannel newChannel = new ListeningChannel(counters);
         try {
-            fresh.config().setOption(ChannelOption.SO_REUSEADDR, true);
-            fresh.config().setBacklog(BACKLOG);
-            // The whole accept queue is taken in one go: what waits there counts as taken.
-            fresh.config().setRecvByteBufAllocator(
-                    new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS_AT_ONCE));
-            fresh.pipeline().addLast(this);
-            return fresh;
+            newChannel.config().setOption(ChannelOption.SO_REUSEADDR, true);
+            newChannel.config().setBacklog(ACCEPT_BACKLOG);
+            // Many at once, to empty the accept queue in one go: connections that wait in it count as accepted.
+            newChannel.config().setRecvByteBufAllocator(
+                    new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_READ));
+            newChannel.pipeline().addLast(this);
+            return newChannel;
         } catch (RuntimeException e) {
-            fresh.unsafe().closeForcibly();
+            newChannel.unsafe().closeForcibly();
             throw e;
         }
     }
 
-    /** Takes no more connections than those that wait by now. */
+    /** Closes the listening socket; while accept calls fail, only after the waiting connections were accepted. */
     void close() {
-        closing = true;
-        closeUnlessHeldUp();
+        isClosing = true;
+        closeUnlessFailing();
     }
 
-    boolean closed() {
+    boolean isClosed() {
         return state == State.CLOSED;
     }
 
-    private void closeUnlessHeldUp() {
-        if (closing && (channel == null || !channel.failing())) {
+    /** Closes the listening socket once that was asked for and no accept call has failed since the queue was empty. */
+    private void closeUnlessFailing() {
+        if (isClosing && (channel == null || !channel.isFailing())) {
             state = State.CLOSED;
             if (channel != null) {
                 channel.close();
@@ -94,7 +100,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        ListeningChannel.Accepted accepted = (ListeningChannel.Accepted) message;
+        ListeningChannel.AcceptedChannel accepted = (ListeningChannel.AcceptedChannel) message;
         listener.onAccepted(accepted);
         loop.register(accepted).addListener(done -> {
             if (!done.isSuccess()) {
@@ -103,35 +109,36 @@
         });
     }
 
-    /** The listening socket is gone: without another one nobody would ever come again. */
+    /** Opens a new listening socket if the present one was closed, as no client could connect any more. */
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        if (!closing && !loop.isShuttingDown()) {
-            Counters.log("the listening socket was closed; listening anew");
-            loop.schedule(this::listenAnew, RETRY_MS, TimeUnit.MILLISECONDS);
+        if (!isClosing && !loop.isShuttingDown()) {
+            Counters.log("listening socket closed unexpectedly; opening a new one");
+            loop.schedule(this::reopen, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void listenAnew() {
-        if (closing) {
+    /** Opens a new listening socket, after a delay again and again until that succeeds. */
+    private void reopen() {
+        if (isClosing) {
             state = State.CLOSED;
             return;
         }
         state = State.LISTENING;
         try {
-            listen(address).addListener(bound -> {
+            listen(bindAddress).addListener(bound -> {
                 if (!bound.isSuccess()) {
-                    loop.schedule(this::listenAnew, RETRY_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(this::reopen, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 }
             });
         } catch (RuntimeException e) {
-            loop.schedule(this::listenAnew, RETRY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::reopen, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        closeUnlessHeldUp();
+        closeUnlessFailing();
     }
 
     @Override
@@ -142,15 +149,15 @@
         }
         state = State.PAUSED;
         channel.config().setAutoRead(false);
-        loop.schedule(this::resume, RETRY_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::resumeAccepting, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void resume() {
+    private void resumeAccepting() {
         if (state == State.PAUSED && channel.isOpen()) {
             state = State.LISTENING;
             channel.config().setAutoRead(true);
-            // Nobody may be waiting any more, and then the selector would never say so.
-            channel.acceptNow();
+            // Without waiting connections the selector reports nothing, and the failure would never end.
+            channel.acceptPending();
         }
     }
 }
--- a/src/main/java/eiderscale/net/Attempt.java
+++ b/src/main/java/eiderscale/net/Attempt.java
@@ -2,28 +2,31 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One send of a request to a cache host; numbered by its place among the request's sends. */
+/** One try to have a request executed by a cache host. */
 final class Attempt {
     final Exchange exchange;
-    final int number;
+    /** Position among the request's attempts, from 0. */
+    final int index;
+    /** When the decision module asked for it, in nanoseconds of {@link Clock}. */
     final long sentAt;
-    final long cutAt;
-    /** Set once, with the attempt's one outcome. */
-    boolean over;
-    /** Ends the wait at {@link #cutAt}. */
-    Future<?> cut;
-    /** The connection that carries it, or will once it is up; null before and after. */
-    HostPool.Link link;
+    /** When it times out, in nanoseconds of {@link Clock}. */
+    final long deadline;
+    /** Whether it has its outcome, of which there is exactly one. */
+    boolean isCompleted;
+    /** Ends the attempt at its {@link #deadline}. */
+    Future<?> deadlineTimer;
+    /** The connection that it is or will be sent on, which may still be connecting; null before and after. */
+    HostPool.Link connection;
 
-    Attempt(Exchange exchange, int number, long sentAt, long cutAt) {
+    Attempt(Exchange exchange, int index, long sentAt, long deadline) {
         this.exchange = exchange;
-        this.number = number;
+        this.index = index;
         this.sentAt = sentAt;
-        this.cutAt = cutAt;
+        this.deadline = deadline;
     }
 
-    /** Whether its last byte has left: from then on it may run. */
-    boolean written() {
-        return link != null && link.written();
+    /** Whether its last byte has been written to the socket: from then on the cache host may execute it. */
+    boolean isFullyWritten() {
+        return connection != null && connection.written();
     }
 }
--- a/src/main/java/eiderscale/net/Balancer.java
+++ b/src/main/java/eiderscale/net/Balancer.java
@@ -70,9 +70,9 @@
      * Takes a request, which is answered exactly once unless its client leaves first. {@code waited}: nanoseconds that
      * its client may have waited before it could be read.
      */
-    Exchange take(Command command, Exchange.Client client, long waited) {
+    Exchange take(Command command, Exchange.ReplyHandler client, long waited) {
         long now = Clock.now();
-        long deadline = now - waited + command.waitMs * Clock.MILLISECOND - WAYS;
+        long deadline = now - waited + command.timeoutMs * Clock.MILLISECOND - WAYS;
         Exchange exchange = new Exchange(++lastId, command, deadline, client);
         counters.taken++;
         int bytes = bytes(command);
@@ -85,10 +85,10 @@
         exchanges.put(exchange.id, exchange);
         open++;
         held += bytes;
-        exchange.lastCall = loop.schedule(() -> lastCall(exchange), deadline + LAST_CALL - now,
+        exchange.deadlineTimer = loop.schedule(() -> lastCall(exchange), deadline + LAST_CALL - now,
                 TimeUnit.NANOSECONDS);
         Api.Request request = new Api.Request(exchange.id, command.requestClass, command.tenant,
-                command.keyNumber(), deadline, command.work, command.repeat, command.write);
+                command.numericKey(), deadline, command.expectedWorkNs, command.isRetry, command.isWrite);
         post(exchange, () -> router.onRequest(Clock.now(), request));
         return exchange;
     }
@@ -189,14 +189,14 @@
     }
 
     private void forget(Exchange exchange) {
-        if (exchange.over && exchange.pending == 0 && exchanges.remove(exchange.id) != null) {
+        if (exchange.isClosed && exchange.pendingAttempts == 0 && exchanges.remove(exchange.id) != null) {
             held -= bytes(exchange.command);
         }
     }
 
     /** The module has not answered in time; whatever the reason, the client must not be left without. */
     private void lastCall(Exchange exchange) {
-        if (!exchange.over) {
+        if (!exchange.isClosed) {
             counters.lastCalls++;
             settle(exchange);
         }
@@ -204,11 +204,11 @@
 
     /** Answers by the rules without the module: a refusal only where nothing can have run. */
     private void settle(Exchange exchange) {
-        boolean mayRun = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::written);
+        boolean mayRun = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
         for (Attempt attempt : List.copyOf(exchange.attempts)) {
             drop(attempt, Reason.CANCELLED);
         }
-        if (!exchange.over) {
+        if (!exchange.isClosed) {
             if (mayRun) {
                 answerFailed(exchange);
             } else {
@@ -224,14 +224,14 @@
      */
     private void withdrawUnsent(Exchange exchange) {
         for (Attempt attempt : List.copyOf(exchange.attempts)) {
-            if (!attempt.written()) {
+            if (!attempt.isFullyWritten()) {
                 drop(attempt, Reason.MOOT);
             }
         }
     }
 
     private void drop(Attempt attempt, Reason reason) {
-        if (!attempt.over) {
+        if (!attempt.isCompleted) {
             pool.abandon(attempt);
             end(attempt, reason, null);
         }
@@ -239,41 +239,41 @@
 
     /** Reports the one outcome of an attempt. */
     private void end(Attempt attempt, Reason reason, MetaFrame answer) {
-        if (attempt.over) {
+        if (attempt.isCompleted) {
             return;
         }
-        attempt.over = true;
-        if (attempt.cut != null) {
-            attempt.cut.cancel(false);
+        attempt.isCompleted = true;
+        if (attempt.deadlineTimer != null) {
+            attempt.deadlineTimer.cancel(false);
         }
         counters.outcome(attempt, reason);
         Exchange exchange = attempt.exchange;
         exchange.mayHaveRun |= !reason.neverRan;
         post(exchange, () -> {
-            exchange.pending--;
-            if (reason == Reason.OK && !exchange.over) {
-                counters.served(answer.flag(1, 'h'), Clock.now() - attempt.sentAt);
+            exchange.pendingAttempts--;
+            if (reason == Reason.OK && !exchange.isClosed) {
+                counters.served(answer.flagValue(1, 'h'), Clock.now() - attempt.sentAt);
                 open--;
-                exchange.answer(answerLine(exchange.command, answer), answer.data());
+                exchange.reply(answerLine(exchange.command, answer), answer.data());
                 withdrawUnsent(exchange);
             }
-            float[] report = site.report(answer == null ? null : answer.flag(1, 'L'));
+            float[] report = site.report(answer == null ? null : answer.flagValue(1, 'L'));
             long now = Clock.now();
-            router.onOutcome(now, new Api.Outcome(exchange.id, attempt.number, reason, now - attempt.sentAt,
-                    exchange.over, report));
+            router.onOutcome(now, new Api.Outcome(exchange.id, attempt.index, reason, now - attempt.sentAt,
+                    exchange.isClosed, report));
         });
     }
 
     /** What a host answered, without what it tells balancers only. */
     private static String answerLine(Command command, MetaFrame answer) {
-        return command.write ? "HD O" + command.opaque + " c" + answer.flag(1, 'c') + "\r\n"
+        return command.isWrite ? "HD O" + command.opaque + " c" + answer.flagValue(1, 'c') + "\r\n"
                 : "VA " + answer.data().length + " O" + command.opaque + "\r\n";
     }
 
     private void answerRefused(Exchange exchange, long retryAfterMs) {
         counters.refusedUnsent += exchange.attempts.isEmpty() ? 1 : 0;
         countHeldBack(exchange);
-        exchange.answer(retryAfterMs > 0 ? "SERVER_ERROR busy " + retryAfterMs + "\r\n" : Command.BUSY,
+        exchange.reply(retryAfterMs > 0 ? "SERVER_ERROR busy " + retryAfterMs + "\r\n" : Command.BUSY_REPLY,
                 null);
         counters.refused++;
         open -= exchanges.containsKey(exchange.id) ? 1 : 0;
@@ -282,19 +282,19 @@
 
     private void answerFailed(Exchange exchange) {
         countHeldBack(exchange);
-        exchange.answer("SERVER_ERROR failed\r\n", null);
+        exchange.reply("SERVER_ERROR failed\r\n", null);
         counters.failed++;
         open--;
         withdrawUnsent(exchange);
     }
 
     private void countHeldBack(Exchange exchange) {
-        boolean written = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::written);
+        boolean written = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
         counters.heldBack += !written && inSecondHalf(exchange) ? 1 : 0;
     }
 
     private static boolean inSecondHalf(Exchange exchange) {
-        return Clock.now() > exchange.deadline - exchange.command.waitMs * Clock.MILLISECOND / 2;
+        return Clock.now() > exchange.deadline - exchange.command.timeoutMs * Clock.MILLISECOND / 2;
     }
 
     // What the module asks for, carried out in its order.
@@ -310,22 +310,22 @@
         long cut = cutAt <= 0 ? exchange.deadline : Math.min(cutAt, exchange.deadline);
         Attempt attempt = new Attempt(exchange, exchange.attempts.size(), now, cut);
         exchange.attempts.add(attempt);
-        exchange.pending++;
+        exchange.pendingAttempts++;
         boolean tooMany = exchange.attempts.size() > site.settings.maxAttempts();
-        if (exchange.over || tooMany || now >= exchange.deadline) {
+        if (exchange.isClosed || tooMany || now >= exchange.deadline) {
             end(attempt, Reason.MOOT, null);
         } else if (now >= cut) {
             end(attempt, Reason.TIMEOUT, null);
         } else {
-            attempt.cut = loop.schedule(() -> cut(attempt), cut - now, TimeUnit.NANOSECONDS);
+            attempt.deadlineTimer = loop.schedule(() -> cut(attempt), cut - now, TimeUnit.NANOSECONDS);
             pool.send(attempt, server);
         }
     }
 
     private void cut(Attempt attempt) {
-        counters.timer(Clock.now() - attempt.cutAt);
+        counters.timer(Clock.now() - attempt.deadline);
         // What never left cannot have run: its connection did not come up in time.
-        drop(attempt, attempt.written() ? Reason.TIMEOUT : Reason.CONNECT_FAILED);
+        drop(attempt, attempt.isFullyWritten() ? Reason.TIMEOUT : Reason.CONNECT_FAILED);
     }
 
     @Override
@@ -339,7 +339,7 @@
     @Override
     public void refuse(long request, long retryAfter) {
         Exchange exchange = exchanges.get(request);
-        if (exchange != null && !exchange.over) {
+        if (exchange != null && !exchange.isClosed) {
             long most = site.settings.retryAfter() ? Math.min(retryAfter, site.settings.maxRetryAfter()) : 0;
             answerRefused(exchange, (most + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
         }
@@ -348,7 +348,7 @@
     @Override
     public void fail(long request) {
         Exchange exchange = exchanges.get(request);
-        if (exchange != null && !exchange.over) {
+        if (exchange != null && !exchange.isClosed) {
             answerFailed(exchange);
         }
     }
--- a/src/main/java/eiderscale/net/ClientServer.java
+++ b/src/main/java/eiderscale/net/ClientServer.java
@@ -18,200 +18,244 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Clients' connections: reads commands and writes their answers in the order of the commands. */
+/**
+ * Server for client connections: decodes pipelined commands and writes the replies in the order of the commands.
+ *
+ * <p>Limits per connection and in total bound the commands in progress, the undecoded input and the unsent replies.
+ * Idle, silent and slow clients are disconnected. All methods are to be called on the event loop.
+ */
 final class ClientServer {
-    /** Requests of one connection that may be open at once; what follows is held back undecoded, or refused. */
-    private static final int MOST_PIPELINED = 64;
-    /** Bytes held back over all connections, and those of one that are left to it when that is too much. */
-    private static final long MOST_HELD = 4L * 1024 * 1024;
-    private static final int LEAST_HELD = 32 * 1024;
-    /** Bytes of refusals of what could not be held back; past that a connection is not read on. */
-    private static final int MOST_SHED = 256 * 1024;
-    /** Bytes of answers, over all connections, that clients may leave unread. */
-    private static final long MOST_UNREAD = 8L * 1024 * 1024;
-    /** A connection idle for less may have a request on its way, which a close would lose. */
-    private static final long LEAST_IDLE = 2 * Clock.SECOND;
-    /** The same for a new one, whose client has nothing to wait for: past that it is a peer that says nothing. */
-    private static final long LEAST_NEW = 500 * Clock.MILLISECOND;
-    /** A peer that has sent nothing whole by then is closed; it is owed that within 3 s. */
-    private static final long FIRST_MS = 2_500;
-    private static final long LEAST_FIRST_MS = 100;
-    /** A client that sends nothing for so long in the middle of a command is told so, and its connection ends. */
-    private static final long REST_MS = 2_500;
-    /** A connection that we ended is closed by then, should its client not close it. */
-    private static final long LINGER_MS = 1_000;
-    /** The same for one whose client does not read the answers that come before that end. */
-    private static final long UNREAD_END_MS = 10_000;
-    private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(32 * 1024, 128 * 1024);
+    /** Commands of one connection awaiting their replies; above it, input is buffered undecoded or rejected. */
+    private static final int MAX_PIPELINED_COMMANDS = 64;
+    /** Undecoded input buffered over all connections; above it, reading stops on connections with large buffers. */
+    private static final long MAX_TOTAL_BUFFERED_BYTES = 4L * 1024 * 1024;
+    /** Undecoded input that a connection may buffer even while the total is exceeded. */
+    private static final int MIN_BUFFER_BYTES_PER_CONNECTION = 32 * 1024;
+    /** Rejections queued on a connection whose buffered input is over the limit; above it, reading stops. */
+    private static final int MAX_REJECTION_BYTES = 256 * 1024;
+    /** Unsent replies over all connections; above it, connections with a full write buffer are closed. */
+    private static final long MAX_TOTAL_UNSENT_BYTES = 8L * 1024 * 1024;
+    /** A connection that has been idle for less is not evicted: a request may be on its way and would be lost. */
+    private static final long MIN_IDLE_BEFORE_EVICTION_NS = 2 * Clock.SECOND;
+    /**
+     * The same for a connection that has received nothing yet. A client has no reason to wait with its first
+     * command, so after this time the peer counts as silent.
+     */
+    private static final long MIN_SILENCE_BEFORE_EVICTION_NS = 500 * Clock.MILLISECOND;
+    /** A peer that has sent no complete command by then is disconnected; the limit to be met is 3 s. */
+    private static final long FIRST_COMMAND_TIMEOUT_MS = 2_500;
+    /** Lower bound of that timeout after deducting the time that failing accept calls held up the connection. */
+    private static final long MIN_FIRST_COMMAND_TIMEOUT_MS = 100;
+    /** A client that sends nothing for this long within a command gets an error, and its connection is closed. */
+    private static final long INCOMPLETE_COMMAND_TIMEOUT_MS = 2_500;
+    /** How long after our FIN the client may take to close the connection before it is closed here. */
+    private static final long LINGER_TIMEOUT_MS = 1_000;
+    /** How long the client may take to read the last replies, which are written before our FIN. */
+    private static final long FINAL_FLUSH_TIMEOUT_MS = 10_000;
+    private static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
+            new WriteBufferWaterMark(32 * 1024, 128 * 1024);
 
     private final Balancer balancer;
     private final EventLoop loop;
     private final Counters counters;
-    private final int mostClients;
-    private final int mostSurplus;
+    private final int maxConnections;
+    private final int maxOverLimitConnections;
     private final Acceptor acceptor;
+    /** Connections that are neither lingering nor closed. */
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Connections with nothing to do, the one that has been so for longest first. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
-    /** Connections that we ended and whose clients have not closed them yet, the oldest first. */
-    private final Set<Connection> lingering = new LinkedHashSet<>();
-    private long unread;
-    private long held;
-    /** Commands refused so far as there was no room to hold them back. */
-    private long shedCommands;
-    private boolean closing;
-
-    /** {@code mostSurplus}: connections over {@code mostClients} that are kept just to be refused. */
-    ClientServer(Balancer balancer, EventLoop loop, Counters counters, int mostClients, int mostSurplus) {
+    /** Connections with no command in progress, the longest idle first. */
+    private final Set<Connection> idleConnections = new LinkedHashSet<>();
+    /** Connections in state {@link State#LINGERING}, the oldest first. */
+    private final Set<Connection> lingeringConnections = new LinkedHashSet<>();
+    /** Bytes of replies that are not written to their sockets yet, over all connections. */
+    private long unsentBytes;
+    /** Bytes of undecoded input, over all connections. */
+    private long totalBufferedBytes;
+    /** Commands rejected so far because the limits on buffered input were exceeded. */
+    private long rejectedCommands;
+    private boolean isClosing;
+
+    /**
+     * @param maxConnections connections on which requests are served
+     * @param maxOverLimitConnections connections above that limit that are kept open only to reject their requests;
+     *         beyond these, new connections are closed at once
+     */
+    ClientServer(Balancer balancer, EventLoop loop, Counters counters, int maxConnections,
+                 int maxOverLimitConnections) {
         this.balancer = balancer;
         this.loop = loop;
         this.counters = counters;
-        this.mostClients = mostClients;
-        this.mostSurplus = mostSurplus;
-        this.acceptor = new Acceptor(loop, counters, this::setUp);
+        this.maxConnections = maxConnections;
+        this.maxOverLimitConnections = maxOverLimitConnections;
+        this.acceptor = new Acceptor(loop, counters, this::initChannel);
     }
 
+    /** Binds the listening socket; may be called again after a failure. */
     ChannelFuture listen(InetSocketAddress address) {
         return acceptor.listen(address);
     }
 
-    private void setUp(ListeningChannel.Accepted channel) {
-        channel.config().setRecvByteBufAllocator(new ReadAheadAllocator());
-        channel.config().setWriteBufferWaterMark(MARKS);
+    private void initChannel(ListeningChannel.AcceptedChannel channel) {
+        channel.config().setRecvByteBufAllocator(new DrainingRecvByteBufAllocator());
+        channel.config().setWriteBufferWaterMark(WRITE_BUFFER_WATER_MARK);
         Connection connection = new Connection(channel);
         channel.pipeline().addLast(connection.decoder, connection);
     }
 
-    /** Takes no more connections, and ends those there are as soon as they are owed nothing. */
+    /** Stops accepting and closes each connection once all its requests have been answered. */
     void close() {
-        closing = true;
+        isClosing = true;
         acceptor.close();
         for (Connection connection : List.copyOf(connections)) {
-            connection.state = State.ENDING;
-            connection.adjust();
+            connection.state = State.DRAINING;
+            connection.updateFlowControl();
         }
     }
 
-    /** Whether no connection is left, nor can come any more. */
-    boolean ended() {
-        return acceptor.closed() && clients() == 0;
+    /** Whether the listening socket and all connections are closed. */
+    boolean isTerminated() {
+        return acceptor.isClosed() && connectionCount() == 0;
     }
 
-    /** Connections that are not closed. */
-    int clients() {
-        return connections.size() + lingering.size();
+    /** The number of connections that are not closed, lingering ones included. */
+    int connectionCount() {
+        return connections.size() + lingeringConnections.size();
     }
 
+    /** Current values for the periodic line of metrics. */
     String gauges() {
-        return "clients " + clients() + " shed " + shedCommands;
+        return "clients " + connectionCount() + " shed " + rejectedCommands;
     }
 
-    /**
-     * A connection's states. {@code SURPLUS}: there was no room for it, all it gets is a refusal.
-     * {@code ENDING}: it takes no request any more but answers each, and ends when none is open.
-     * {@code LINGERING}: its last answer and our end of the stream are out. It is not closed yet: with bytes
-     * left unread that would be a reset, which can destroy the answer on its way.
-     */
-    private enum State { OPEN, SURPLUS, ENDING, LINGERING, GONE }
+    private enum State {
+        /** Requests are served. */
+        OPEN,
+        /** Accepted above the connection limit: its first request is rejected and the connection drained. */
+        OVER_LIMIT,
+        /** New requests are rejected; the connection ends when all replies have been written. */
+        DRAINING,
+        /**
+         * Lingering close: our FIN follows the last reply, and input is discarded until the client closes. Closing
+         * the socket with unread input would send a reset, which can destroy the reply in transit.
+         */
+        LINGERING,
+        CLOSED
+    }
 
-    /** The place of one command in the order of answers. */
-    private final class Slot implements Exchange.Client {
+    /** An entry of a connection's reply queue: one command and, once complete, its reply. */
+    private final class PendingReply implements Exchange.ReplyHandler {
         private final Connection connection;
-        /** The command until it is taken; null from then on. */
-        private MetaFrame frame;
-        private ByteBuf answer;
-        private long answeredAt;
+        /** The command until it is processed, null from then on. */
+        private MetaFrame command;
+        /** The encoded reply, null until it is complete. */
+        private ByteBuf reply;
+        /** When the reply was complete ({@link Clock}). */
+        private long completedAt;
+        /** The request in progress, null if the command is none. */
         private Exchange exchange;
 
-        Slot(Connection connection, MetaFrame frame) {
+        PendingReply(Connection connection, MetaFrame command) {
             this.connection = connection;
-            this.frame = frame;
+            this.command = command;
         }
 
         @Override
-        public void answer(String line, byte[] data) {
-            if (connection.state != State.GONE) {
-                answer = Command.line(connection.channel.alloc(), line, data);
-                answeredAt = Clock.now();
-                unread += answer.readableBytes();
-                connection.flushReady();
+        public void reply(String line, byte[] data) {
+            if (connection.state != State.CLOSED) {
+                reply = Command.encodeLine(connection.channel.alloc(), line, data);
+                completedAt = Clock.now();
+                unsentBytes += reply.readableBytes();
+                connection.writeReadyReplies();
             }
         }
     }
 
+    /** One client connection, the last handler of its channel's pipeline. */
     private final class Connection extends SimpleChannelInboundHandler<MetaFrame> {
-        private final StreamChannel channel;
-        final MetaDecoder decoder = MetaDecoder.ofCommands();
-        private final Deque<Slot> slots = new ArrayDeque<>();
-        /** Those of the present read, whose commands are not taken yet. */
-        private final List<Slot> untaken = new ArrayList<>();
-        /** The last slot while it holds the refusals of all commands from there on; null otherwise. */
-        private Slot shed;
+        private final RetryingSocketChannel channel;
+        final MetaDecoder decoder = MetaDecoder.forCommands();
+        /** The reply queue: one entry per command, in the order of arrival. */
+        private final Deque<PendingReply> pendingReplies = new ArrayDeque<>();
+        /** Entries for the commands of the current read, which are not processed yet. */
+        private final List<PendingReply> readBatch = new ArrayList<>();
+        /** The last entry of the queue while it collects the rejections of successive commands; null otherwise. */
+        private PendingReply reject;
         private State state = State.OPEN;
         /**
-         * Commands that came in one read are all taken before anything is ended, and only once it is known
-         * whether their client's end came with them: nothing is begun for a client that has left.
+         * Set from the first command of a read until all its commands are processed. They are processed together,
+         * before a reply is written or the connection ended, and only once it is known whether the read reached
+         * the end of the stream: no request is started for a client that has left.
          */
-        private boolean reading;
-        private boolean resuming;
-        private boolean heard;
-        /** Among what was heard was a request, or the question whether we are ready. */
-        private boolean proper;
-        private Future<?> silence;
-        /** Ends the wait for the rest of a command. */
-        private Future<?> rest;
+        private boolean isReadBatchPending;
+        /** Whether {@link #resumeDecoding} is a task of the event loop. */
+        private boolean isResumeScheduled;
+        private boolean hasReceivedFrame;
+        /** Whether a readiness probe ({@code mn}), a well-formed request or one rejected unparsed was received. */
+        private boolean hasReceivedValidCommand;
+        /** Closes the connection of a peer that sends no complete command. */
+        private Future<?> firstCommandTimer;
+        /** Ends the connection when the rest of a command does not arrive; null while not running. */
+        private Future<?> incompleteCommandTimer;
+        /** When the last read was complete ({@link Clock}). */
         private long lastReadAt;
-        /** Ends the state {@code LINGERING}. */
-        private Future<?> lastClose;
+        /** Bounds the state {@link State#LINGERING}. */
+        private Future<?> lingerTimer;
+        /** Since when the connection has been idle ({@link Clock}); valid while it is. */
         private long idleSince;
-        private int unsent;
-        /** How long what comes in the next read may have waited, as accepting or reading failed. */
-        private long heldUp;
-        /** Its part of what is held back. */
-        private int heldBytes;
-
-        Connection(ListeningChannel.Accepted channel) {
+        /** Replies handed to the channel and not written to the socket yet. */
+        private int pendingWrites;
+        /** How long the input of the next read may have waited because accept or read calls failed. */
+        private long receiveDelayNs;
+        /** This connection's share of {@link #totalBufferedBytes}. */
+        private int countedBufferedBytes;
+
+        Connection(ListeningChannel.AcceptedChannel channel) {
             this.channel = channel;
-            this.heldUp = channel.heldUp;
+            this.receiveDelayNs = channel.acceptDelayNs;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (connections.size() >= mostClients + mostSurplus) {
-                state = State.GONE;
+            if (connections.size() >= maxConnections + maxOverLimitConnections) {
+                state = State.CLOSED;
                 counters.turnedAway++;
                 ctx.close();
                 return;
             }
-            if (closing) {
-                state = State.ENDING;
-            } else if (connections.size() >= mostClients && !evict()) {
-                state = State.SURPLUS;
+            if (isClosing) {
+                state = State.DRAINING;
+            } else if (connections.size() >= maxConnections && !evictIdleConnection()) {
+                state = State.OVER_LIMIT;
             }
             connections.add(this);
-            goIdle();
-            silence = loop.schedule(() -> {
-                if (!heard) {
+            markIdle();
+            firstCommandTimer = loop.schedule(() -> {
+                if (!hasReceivedFrame) {
                     counters.silent++;
                     channel.close();
                 }
-            }, Math.max(LEAST_FIRST_MS, FIRST_MS - heldUp / Clock.MILLISECOND), TimeUnit.MILLISECONDS);
+            }, Math.max(MIN_FIRST_COMMAND_TIMEOUT_MS, FIRST_COMMAND_TIMEOUT_MS - receiveDelayNs / Clock.MILLISECOND),
+                    TimeUnit.MILLISECONDS);
         }
 
-        private void goIdle() {
-            if (idle.add(this)) {
+        private void markIdle() {
+            if (idleConnections.add(this)) {
                 idleSince = Clock.now();
             }
         }
 
-        private boolean evict() {
+        /**
+         * Ends the longest idle connection that may be evicted; returns whether there was one. Lingering connections
+         * above {@link #maxOverLimitConnections} are closed for good, so that evictions use up no sockets.
+         */
+        private boolean evictIdleConnection() {
             long now = Clock.now();
-            for (Connection longest : idle) {
-                if (longest.unsent == 0 && now - longest.idleSince >= longest.leastIdle()) {
+            for (Connection candidate : idleConnections) {
+                if (candidate.pendingWrites == 0 && now - candidate.idleSince >= candidate.minIdleBeforeEvictionNs()) {
                     counters.evicted++;
-                    longest.end();
-                    if (lingering.size() > mostSurplus) {
-                        lingering.iterator().next().close();
+                    candidate.startLingeringClose();
+                    if (lingeringConnections.size() > maxOverLimitConnections) {
+                        lingeringConnections.iterator().next().close();
                     }
                     return true;
                 }
@@ -219,226 +263,239 @@
             return false;
         }
 
-        /** A peer that sent nothing proper has had all that it is owed once its error is out. */
-        private long leastIdle() {
-            return proper ? LEAST_IDLE : heard ? 0 : LEAST_NEW;
+        /** 0 for a peer that sent invalid commands only: it may be evicted as soon as it has its error replies. */
+        private long minIdleBeforeEvictionNs() {
+            return hasReceivedValidCommand ? MIN_IDLE_BEFORE_EVICTION_NS
+                    : hasReceivedFrame ? 0 : MIN_SILENCE_BEFORE_EVICTION_NS;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaFrame frame) {
-            reading = true;
-            idle.remove(this);
-            heard = true;
-            if (decoder.sheds() && !frame.is(0, "quit")) {
-                shed();
+            isReadBatchPending = true;
+            idleConnections.remove(this);
+            hasReceivedFrame = true;
+            if (decoder.isRejecting() && !frame.tokenIs(0, "quit")) {
+                reject();
                 return;
             }
-            shed = null;
-            Slot slot = new Slot(this, frame);
-            slots.add(slot);
-            untaken.add(slot);
-            if (slots.size() >= MOST_PIPELINED) {
-                decoder.hold();
+            reject = null;
+            PendingReply pending = new PendingReply(this, frame);
+            pendingReplies.add(pending);
+            readBatch.add(pending);
+            if (pendingReplies.size() >= MAX_PIPELINED_COMMANDS) {
+                decoder.pause();
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (reading) {
-                // The channel closes right after this event if the read met its end, before the loop's tasks.
-                loop.execute(this::takeRead);
+            if (isReadBatchPending) {
+                // Deferred: if the read reached the end of the stream, Netty closes the channel right after this
+                // event and before the tasks of the event loop run.
+                loop.execute(this::processReadBatch);
             } else {
-                flushReady();
-                awaitRest();
+                writeReadyReplies();
+                startIncompleteCommandTimer();
             }
         }
 
-        /** Takes the commands of the last read, in their order; none are left if their client left with them. */
-        private void takeRead() {
+        /** Processes the commands of the last read in their order; none if the client closed behind them. */
+        private void processReadBatch() {
             if (!channel.isOpen()) {
-                return; // The read met its client's end, which is told right after this.
+                return; // The read reached the end of the stream; channelInactive follows.
             }
-            heldUp += channel.takeReadDelay();
+            receiveDelayNs += channel.getAndResetReadDelayNs();
             try {
-                untaken.forEach(this::take);
+                readBatch.forEach(this::process);
             } catch (RuntimeException e) {
                 exceptionCaught(null, e);
             }
-            untaken.clear();
-            heldUp = 0;
-            reading = false;
-            flushReady();
-            awaitRest();
+            readBatch.clear();
+            receiveDelayNs = 0;
+            isReadBatchPending = false;
+            writeReadyReplies();
+            startIncompleteCommandTimer();
         }
 
-        private void awaitRest() {
+        private void startIncompleteCommandTimer() {
             lastReadAt = Clock.now();
-            if (rest == null && heard && decoder.awaitsRest()) {
-                rest = loop.schedule(this::endWithoutRest, REST_MS, TimeUnit.MILLISECONDS);
+            if (incompleteCommandTimer == null && hasReceivedFrame && decoder.hasIncompleteFrame()) {
+                incompleteCommandTimer = loop.schedule(this::checkIncompleteCommand, INCOMPLETE_COMMAND_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
 
-        private void endWithoutRest() {
-            rest = null;
-            if (state == State.LINGERING || state == State.GONE || !decoder.awaitsRest()) {
+        /** Ends the connection unless the client has sent more or completed its command; else waits on. */
+        private void checkIncompleteCommand() {
+            incompleteCommandTimer = null;
+            if (state == State.LINGERING || state == State.CLOSED || !decoder.hasIncompleteFrame()) {
                 return;
             }
-            long leftMs = REST_MS - (Clock.now() - lastReadAt) / Clock.MILLISECOND;
-            if (leftMs > 0) {
-                rest = loop.schedule(this::endWithoutRest, leftMs, TimeUnit.MILLISECONDS);
+            long remainingMs = INCOMPLETE_COMMAND_TIMEOUT_MS - (Clock.now() - lastReadAt) / Clock.MILLISECOND;
+            if (remainingMs > 0) {
+                incompleteCommandTimer = loop.schedule(this::checkIncompleteCommand, remainingMs,
+                        TimeUnit.MILLISECONDS);
                 return;
             }
             counters.malformed++;
-            state = State.ENDING;
-            decoder.drop();
-            shed = null;
-            Slot slot = new Slot(this, null);
-            slots.add(slot);
-            slot.answer("CLIENT_ERROR incomplete command\r\n", null);
+            state = State.DRAINING;
+            decoder.discardInput();
+            reject = null;
+            PendingReply pending = new PendingReply(this, null);
+            pendingReplies.add(pending);
+            pending.reply("CLIENT_ERROR incomplete command\r\n", null);
         }
 
-        private void take(Slot slot) {
-            MetaFrame frame = slot.frame;
-            slot.frame = null;
-            if (decoder.drops()) {
-                slots.remove(slot);
-            } else if (frame.fault() != null) {
+        private void process(PendingReply pending) {
+            MetaFrame frame = pending.command;
+            pending.command = null;
+            if (decoder.isDiscarding()) {
+                pendingReplies.remove(pending);
+            } else if (frame.protocolError() != null) {
                 counters.malformed++;
-                slot.answer(frame.fault() + "\r\n", null);
+                pending.reply(frame.protocolError() + "\r\n", null);
             } else {
-                take(slot, frame);
+                process(pending, frame);
             }
         }
 
-        /** Refuses a command for which there is no room behind the open ones, in its turn among the answers. */
-        private void shed() {
+        /**
+         * Rejects a command because the input buffered behind the commands in progress exceeds its limit. The
+         * rejection keeps its place in the order of replies.
+         */
+        private void reject() {
             counters.localRefusals++;
-            shedCommands++;
-            if (shed == null) {
-                shed = new Slot(this, null);
-                slots.add(shed);
-                shed.answer(Command.BUSY, null);
+            rejectedCommands++;
+            if (reject == null) {
+                reject = new PendingReply(this, null);
+                pendingReplies.add(reject);
+                reject.reply(Command.BUSY_REPLY, null);
             } else {
-                shed.answer.writeCharSequence(Command.BUSY, StandardCharsets.ISO_8859_1);
-                unread += Command.BUSY.length();
+                reject.reply.writeCharSequence(Command.BUSY_REPLY, StandardCharsets.ISO_8859_1);
+                unsentBytes += Command.BUSY_REPLY.length();
             }
         }
 
-        /** Whether more is held back, here or over all connections, than there is room for. */
-        private boolean holdsTooMuch() {
-            return decoder.full() || held > MOST_HELD && decoder.held() > LEAST_HELD;
+        /** Whether the undecoded input of this connection, or its part in the total of all, exceeds the limit. */
+        private boolean isBufferLimitExceeded() {
+            return decoder.isBufferFull() || totalBufferedBytes > MAX_TOTAL_BUFFERED_BYTES
+                    && decoder.bufferedBytes() > MIN_BUFFER_BYTES_PER_CONNECTION;
         }
 
-        /** Whether what is held back behind open requests has to be refused for reading to go on. */
-        private boolean mustShed() {
-            return holdsTooMuch() && slots.size() >= MOST_PIPELINED
-                    && (shed == null || shed.answer.readableBytes() < MOST_SHED);
+        /** Whether buffered commands have to be rejected for reading to continue. */
+        private boolean mustRejectBuffered() {
+            return isBufferLimitExceeded() && pendingReplies.size() >= MAX_PIPELINED_COMMANDS
+                    && (reject == null || reject.reply.readableBytes() < MAX_REJECTION_BYTES);
         }
 
-        private void countHeld(int bytes) {
-            held += bytes - heldBytes;
-            heldBytes = bytes;
+        private void updateBufferedBytes(int bytes) {
+            totalBufferedBytes += bytes - countedBufferedBytes;
+            countedBufferedBytes = bytes;
         }
 
-        private void take(Slot slot, MetaFrame frame) {
-            switch (frame.words().get(0)) {
-                case "mg", "ms" -> request(slot, frame);
+        private void process(PendingReply pending, MetaFrame frame) {
+            switch (frame.tokens().get(0)) {
+                case "mg", "ms" -> processRequest(pending, frame);
                 case "mn" -> {
-                    proper = true;
-                    slot.answer("MN\r\n", null);
+                    hasReceivedValidCommand = true;
+                    pending.reply("MN\r\n", null);
                 }
                 case "quit" -> {
-                    // What its client sent behind that is passed over.
-                    slots.remove(slot);
-                    state = State.ENDING;
-                    decoder.drop();
+                    // Commands after quit are discarded.
+                    pendingReplies.remove(pending);
+                    state = State.DRAINING;
+                    decoder.discardInput();
                 }
                 default -> {
                     counters.malformed++;
-                    slot.answer("ERROR\r\n", null);
+                    pending.reply("ERROR\r\n", null);
                 }
             }
         }
 
-        private void request(Slot slot, MetaFrame frame) {
+        private void processRequest(PendingReply pending, MetaFrame frame) {
             if (state != State.OPEN) {
-                proper = true;
+                hasReceivedValidCommand = true;
                 counters.localRefusals++;
-                state = State.ENDING;
-                slot.answer(Command.BUSY, null);
+                state = State.DRAINING;
+                pending.reply(Command.BUSY_REPLY, null);
                 return;
             }
             try {
                 Command command = new Command(frame, balancer.site());
-                proper = true;
-                slot.exchange = balancer.take(command, slot, heldUp);
-            } catch (Command.Malformed e) {
+                hasReceivedValidCommand = true;
+                pending.exchange = balancer.take(command, pending, receiveDelayNs);
+            } catch (Command.MalformedCommandException e) {
                 counters.malformed++;
-                slot.answer(e.getMessage() + "\r\n", null);
+                pending.reply(e.getMessage() + "\r\n", null);
             }
         }
 
-        /** Writes the answers that no earlier command has to come before. */
-        void flushReady() {
-            if (reading || state == State.GONE) {
+        /** Writes the complete replies at the head of the queue, up to the first command in progress. */
+        void writeReadyReplies() {
+            if (isReadBatchPending || state == State.CLOSED) {
                 return;
             }
-            boolean wrote = false;
-            while (!slots.isEmpty() && slots.peek().answer != null) {
-                Slot slot = slots.poll();
-                shed = slot == shed ? null : shed;
-                int bytes = slot.answer.readableBytes();
-                long turn = Clock.now();
-                unsent++;
-                channel.write(slot.answer).addListener(done -> {
-                    unread -= bytes;
-                    unsent--;
-                    counters.delivery(turn - slot.answeredAt, Clock.now() - slot.answeredAt);
+            boolean hasWritten = false;
+            while (!pendingReplies.isEmpty() && pendingReplies.peek().reply != null) {
+                PendingReply pending = pendingReplies.poll();
+                reject = pending == reject ? null : reject;
+                int bytes = pending.reply.readableBytes();
+                long writeAt = Clock.now();
+                pendingWrites++;
+                channel.write(pending.reply).addListener(done -> {
+                    unsentBytes -= bytes;
+                    pendingWrites--;
+                    counters.delivery(writeAt - pending.completedAt, Clock.now() - pending.completedAt);
                 });
-                wrote = true;
+                hasWritten = true;
             }
-            if (wrote) {
+            if (hasWritten) {
                 channel.flush();
             }
-            adjust();
+            updateFlowControl();
         }
 
-        /** Reads on, holds back what comes, or ends, as its open requests and its client's reading allow. */
-        void adjust() {
-            if (reading || state == State.LINGERING || state == State.GONE) {
+        /**
+         * Applies backpressure: pauses or resumes decoding and reading, or ends the connection, depending on the
+         * commands in progress, the buffered input and how fast the client reads its replies.
+         */
+        void updateFlowControl() {
+            if (isReadBatchPending || state == State.LINGERING || state == State.CLOSED) {
                 return;
             }
-            countHeld(decoder.held());
-            if (slots.isEmpty() && state == State.ENDING && !decoder.holds() && !resuming) {
-                end();
-            } else if (unread > MOST_UNREAD && !channel.isWritable()) {
-                // A client that does not read its answers must not take the memory of the others.
+            updateBufferedBytes(decoder.bufferedBytes());
+            if (pendingReplies.isEmpty() && state == State.DRAINING && !decoder.isPaused() && !isResumeScheduled) {
+                startLingeringClose();
+            } else if (unsentBytes > MAX_TOTAL_UNSENT_BYTES && !channel.isWritable()) {
+                // Keeps a client that does not read its replies from using up the memory for all.
                 channel.close();
             } else {
-                if (slots.isEmpty()) {
-                    goIdle();
+                if (pendingReplies.isEmpty()) {
+                    markIdle();
                 }
                 if (!channel.isWritable()) {
-                    decoder.hold();
-                } else if (decoder.holds() && !resuming && (slots.size() < MOST_PIPELINED || mustShed())) {
-                    resuming = true;
-                    loop.execute(this::resume);
+                    decoder.pause();
+                } else if (decoder.isPaused() && !isResumeScheduled
+                        && (pendingReplies.size() < MAX_PIPELINED_COMMANDS || mustRejectBuffered())) {
+                    isResumeScheduled = true;
+                    loop.execute(this::resumeDecoding);
                 }
-                channel.config().setAutoRead(!holdsTooMuch());
+                channel.config().setAutoRead(!isBufferLimitExceeded());
             }
         }
 
-        private void resume() {
-            resuming = false;
+        private void resumeDecoding() {
+            isResumeScheduled = false;
             ChannelHandlerContext context = channel.pipeline().context(decoder);
             if (context == null) {
-                return; // Closed meanwhile.
+                return; // The channel was closed in the meantime.
             }
             try {
-                if (slots.size() < MOST_PIPELINED) {
-                    decoder.release(context);
+                if (pendingReplies.size() < MAX_PIPELINED_COMMANDS) {
+                    decoder.resume(context);
                 } else {
-                    decoder.shed(context);
+                    decoder.decodeForRejection(context);
                 }
             } catch (Exception e) {
                 exceptionCaught(context, e);
@@ -446,25 +503,25 @@
             channelReadComplete(context);
         }
 
-        /** Half-closes behind what is still being written, and reads on to the client's end. */
-        private void end() {
+        /** Half-closes once all replies are written, then discards input until the client closes. */
+        private void startLingeringClose() {
             state = State.LINGERING;
-            countHeld(0);
+            updateBufferedBytes(0);
             connections.remove(this);
-            idle.remove(this);
-            lingering.add(this);
-            decoder.drop();
+            idleConnections.remove(this);
+            lingeringConnections.add(this);
+            decoder.discardInput();
             channel.config().setAutoRead(true);
-            lastClose = loop.schedule(this::close, UNREAD_END_MS, TimeUnit.MILLISECONDS);
+            lingerTimer = loop.schedule(this::close, FINAL_FLUSH_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
                 channel.shutdownOutput().addListener(halfClosed -> {
                     if (!halfClosed.isSuccess()) {
-                        // Nothing else tells the client, who may send on: what it sends is dropped from here on.
+                        // Without a FIN the client cannot know and may go on sending commands that are discarded.
                         close();
                     }
                 });
-                lastClose.cancel(false);
-                lastClose = loop.schedule(this::close, LINGER_MS, TimeUnit.MILLISECONDS);
+                lingerTimer.cancel(false);
+                lingerTimer = loop.schedule(this::close, LINGER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             });
         }
 
@@ -474,50 +531,50 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            adjust();
+            updateFlowControl();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            state = State.GONE;
-            countHeld(0);
-            if (silence != null) {
-                silence.cancel(false);
+            state = State.CLOSED;
+            updateBufferedBytes(0);
+            if (firstCommandTimer != null) {
+                firstCommandTimer.cancel(false);
             }
-            if (rest != null) {
-                rest.cancel(false);
+            if (incompleteCommandTimer != null) {
+                incompleteCommandTimer.cancel(false);
             }
-            if (lastClose != null) {
-                lastClose.cancel(false);
+            if (lingerTimer != null) {
+                lingerTimer.cancel(false);
             }
             connections.remove(this);
-            lingering.remove(this);
-            idle.remove(this);
-            for (Slot slot : slots) {
-                if (slot.answer != null) {
-                    unread -= slot.answer.readableBytes();
-                    slot.answer.release();
-                } else if (slot.exchange != null) {
-                    balancer.clientGone(slot.exchange);
+            lingeringConnections.remove(this);
+            idleConnections.remove(this);
+            for (PendingReply pending : pendingReplies) {
+                if (pending.reply != null) {
+                    unsentBytes -= pending.reply.readableBytes();
+                    pending.reply.release();
+                } else if (pending.exchange != null) {
+                    balancer.clientGone(pending.exchange);
                 }
             }
-            slots.clear();
+            pendingReplies.clear();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof java.io.IOException) {
-                counters.brokenClient(cause, openRequests());
+                counters.brokenClient(cause, openRequestOpaques());
             } else {
-                Counters.log("on a client's connection", cause);
+                Counters.log("unexpected exception on a client connection", cause);
             }
             channel.close();
         }
 
-        /** The ids of requests that are owed an answer, for the log. */
-        private List<String> openRequests() {
-            return slots.stream().filter(slot -> slot.answer == null && slot.exchange != null)
-                    .map(slot -> slot.exchange.command.opaque).toList();
+        /** The opaque tokens of the requests in progress, for the log. */
+        private List<String> openRequestOpaques() {
+            return pendingReplies.stream().filter(pending -> pending.reply == null && pending.exchange != null)
+                    .map(pending -> pending.exchange.command.opaque).toList();
         }
     }
 }
--- a/src/main/java/eiderscale/net/Command.java
+++ b/src/main/java/eiderscale/net/Command.java
@@ -6,126 +6,145 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A client's read or write, checked, with what is needed to pass it on in the same words. */
+/**
+ * A client's validated read ({@code mg}) or write ({@code ms}), with all that is needed to forward it unchanged to a
+ * cache host. Its {@code P} flag holds parameters, a comma-separated list of {@code name=value}.
+ */
 final class Command {
-    /** A refusal that names no time for another try. */
-    static final String BUSY = "SERVER_ERROR busy\r\n";
-    private static final int MOST_KEY = 250;
-    private static final int MOST_OPAQUE = 32;
-    private static final int HEX_KEY = 16;
-    /** A longer wait is cut to this: no client means it, and sums with it must not overflow. */
-    private static final long MOST_WAIT_MS = 3_600_000;
+    /** A rejection without a retry-after time. */
+    static final String BUSY_REPLY = "SERVER_ERROR busy\r\n";
+    private static final int MAX_KEY_LENGTH = 250;
+    private static final int MAX_OPAQUE_LENGTH = 32;
+    /** Digits of a key that fits a long. */
+    private static final int MAX_HEX_KEY_DIGITS = 16;
+    /**
+     * Upper bound for a client's timeout and expected work. No client seriously asks for more, and sums with these
+     * values must not overflow.
+     */
+    private static final long MAX_TIMEOUT_MS = 3_600_000;
 
-    /** A command that cannot be taken; the message is the answer. */
-    static final class Malformed extends Exception {
+    /** The command is invalid; the message is the error reply without CRLF. */
+    static final class MalformedCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String what) {
-            super("CLIENT_ERROR " + what, null, false, false);
+        MalformedCommandException(String detail) {
+            super("CLIENT_ERROR " + detail, null, false, false);
         }
     }
 
-    final boolean write;
+    /** Whether this is {@code ms}; else it is {@code mg}. */
+    final boolean isWrite;
     final String key;
+    /** The client's id for the request, from the {@code O} flag. */
     final String opaque;
+    /** The value to write, null for a read. */
     final byte[] value;
+    /** Index of the request class in the settings. */
     final int requestClass;
+    /** Index of the tenant in the settings. */
     final int tenant;
-    final long waitMs;
-    final boolean repeat;
-    /** Expected work in nanoseconds, 0 if not told. */
-    final long work;
-    private final String[] figures;
-    private int waitAt = -1;
+    /** How long the client waits for the reply, from the parameter {@code d}. */
+    final long timeoutMs;
+    /** Whether the client sent the request before, from the parameter {@code r}. */
+    final boolean isRetry;
+    /** Expected work in nanoseconds, 0 if unknown; from the parameter {@code h}, in microseconds. */
+    final long expectedWorkNs;
+    private final String[] parameters;
+    /** Index of {@code d} in {@link #parameters}. */
+    private int timeoutIndex = -1;
 
-    Command(MetaFrame frame, Site site) throws Malformed {
-        write = frame.is(0, "ms");
+    /** @throws MalformedCommandException if a part is missing, invalid or names what the settings do not hold */
+    Command(MetaFrame frame, Site site) throws MalformedCommandException {
+        isWrite = frame.tokenIs(0, "ms");
         value = frame.data();
-        if (frame.words().size() < 2 || frame.words().get(1).length() > MOST_KEY) {
-            throw new Malformed("bad key");
+        if (frame.tokens().size() < 2 || frame.tokens().get(1).length() > MAX_KEY_LENGTH) {
+            throw new MalformedCommandException("bad key");
         }
-        key = frame.words().get(1);
-        int flags = write ? 3 : 2;
-        String id = null;
-        String list = null;
+        key = frame.tokens().get(1);
+        int firstFlag = isWrite ? 3 : 2;
+        String opaqueFlag = null;
+        String parameterList = null;
         boolean wantsValue = false;
-        for (String word : frame.words().subList(flags, frame.words().size())) {
-            switch (word.charAt(0)) {
-                case 'O' -> id = word.substring(1);
-                case 'P' -> list = word.substring(1);
+        for (String flag : frame.tokens().subList(firstFlag, frame.tokens().size())) {
+            switch (flag.charAt(0)) {
+                case 'O' -> opaqueFlag = flag.substring(1);
+                case 'P' -> parameterList = flag.substring(1);
                 case 'v' -> wantsValue = true;
-                default -> throw new Malformed("unknown flag");
+                default -> throw new MalformedCommandException("unknown flag");
             }
         }
-        if (id == null || id.isEmpty() || id.length() > MOST_OPAQUE) {
-            throw new Malformed("bad or missing opaque");
+        if (opaqueFlag == null || opaqueFlag.isEmpty() || opaqueFlag.length() > MAX_OPAQUE_LENGTH) {
+            throw new MalformedCommandException("bad or missing opaque");
         }
-        if (wantsValue == write) {
-            throw new Malformed(write ? "ms takes no v" : "mg needs v");
+        if (wantsValue == isWrite) {
+            throw new MalformedCommandException(isWrite ? "ms takes no v" : "mg needs v");
         }
-        opaque = id;
-        figures = list == null ? new String[0] : list.split(",");
-        requestClass = number(site.requestClass(figure("c")), "class");
-        tenant = number(site.tenant(figure("t")), "tenant");
-        waitMs = Math.min(MOST_WAIT_MS, whole("d", -1));
-        if (waitMs < 0) {
-            throw new Malformed("missing d");
+        opaque = opaqueFlag;
+        parameters = parameterList == null ? new String[0] : parameterList.split(",");
+        requestClass = requireKnown(site.requestClass(parameter("c")), "class");
+        tenant = requireKnown(site.tenant(parameter("t")), "tenant");
+        timeoutMs = Math.min(MAX_TIMEOUT_MS, nonNegativeParameter("d", -1));
+        if (timeoutMs < 0) {
+            throw new MalformedCommandException("missing d");
         }
-        repeat = "1".equals(figure("r"));
-        work = Math.min(MOST_WAIT_MS * 1000, whole("h", 0)) * 1000;
-        for (int i = figures.length - 1; i >= 0; i--) {
-            waitAt = figures[i].startsWith("d=") ? i : waitAt;
+        isRetry = "1".equals(parameter("r"));
+        expectedWorkNs = Math.min(MAX_TIMEOUT_MS * 1000, nonNegativeParameter("h", 0)) * 1000;
+        for (int i = parameters.length - 1; i >= 0; i--) {
+            timeoutIndex = parameters[i].startsWith("d=") ? i : timeoutIndex;
         }
     }
 
-    private static int number(Integer number, String what) throws Malformed {
-        if (number == null) {
-            throw new Malformed("unknown " + what);
+    /** The index, unless it is null: the settings hold no such name. */
+    private static int requireKnown(Integer index, String kind) throws MalformedCommandException {
+        if (index == null) {
+            throw new MalformedCommandException("unknown " + kind);
         }
-        return number;
+        return index;
     }
 
-    private String figure(String name) {
-        return Arrays.stream(figures).filter(f -> f.startsWith(name + "=")).findFirst()
-                .map(f -> f.substring(name.length() + 1)).orElse(null);
+    /** The value of the first parameter of that name, null if absent. */
+    private String parameter(String name) {
+        return Arrays.stream(parameters).filter(p -> p.startsWith(name + "=")).findFirst()
+                .map(p -> p.substring(name.length() + 1)).orElse(null);
     }
 
-    private long whole(String name, long otherwise) throws Malformed {
-        String text = figure(name);
+    /** The value of a numeric parameter, or the default, which may be negative, if it is absent. */
+    private long nonNegativeParameter(String name, long defaultValue) throws MalformedCommandException {
+        String text = parameter(name);
         try {
-            long number = text == null ? otherwise : Long.parseLong(text);
-            if (text == null || number >= 0) {
-                return number;
+            long value = text == null ? defaultValue : Long.parseLong(text);
+            if (text == null || value >= 0) {
+                return value;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
-        throw new Malformed("bad " + name);
+        throw new MalformedCommandException("bad " + name);
     }
 
-    /** The key as the module's number: hexadecimal keys as they are, others by a hash all balancers share. */
-    long keyNumber() {
+    /** The key for the decision module: the value of a hexadecimal key, else a hash that all balancers share. */
+    long numericKey() {
         try {
-            if (key.length() <= HEX_KEY) {
+            if (key.length() <= MAX_HEX_KEY_DIGITS) {
                 return Long.parseUnsignedLong(key, 16);
             }
         } catch (NumberFormatException e) {
-            // Any other name for a key.
+            // Not hexadecimal.
         }
         return Catalog.hash(key);
     }
 
-    /** The bytes for a cache host: all as it came, but for how long is left to wait. */
-    ByteBuf encode(ByteBufAllocator alloc, long leftMs) {
-        String[] list = figures.clone();
-        list[waitAt] = "d=" + leftMs;
-        String line = (write ? "ms " + key + " " + value.length : "mg " + key + " v") + " O" + opaque
-                + " P" + String.join(",", list) + "\r\n";
-        return line(alloc, line, value);
+    /** Encodes the command for a cache host: as received, except for the timeout, which is the remaining time. */
+    ByteBuf encode(ByteBufAllocator alloc, long remainingMs) {
+        String[] updatedParameters = parameters.clone();
+        updatedParameters[timeoutIndex] = "d=" + remainingMs;
+        String line = (isWrite ? "ms " + key + " " + value.length : "mg " + key + " v") + " O" + opaque
+                + " P" + String.join(",", updatedParameters) + "\r\n";
+        return encodeLine(alloc, line, value);
     }
 
-    /** A line and, behind it, a data block if there is one. */
-    static ByteBuf line(ByteBufAllocator alloc, String line, byte[] data) {
+    /** Encodes a line, which includes its CRLF, and a data block unless that is null. */
+    static ByteBuf encodeLine(ByteBufAllocator alloc, String line, byte[] data) {
         ByteBuf bytes = alloc.buffer(line.length() + (data == null ? 0 : data.length + 2));
         bytes.writeCharSequence(line, StandardCharsets.ISO_8859_1);
         if (data != null) {
--- a/src/main/java/eiderscale/net/Counters.java
+++ b/src/main/java/eiderscale/net/Counters.java
@@ -65,11 +65,11 @@
     void outcome(Attempt attempt, Reason reason) {
         outcomes[reason.ordinal()]++;
         int error = reason == Reason.ERROR ? 1 : 0;
-        if (attempt.exchange.command.write) {
+        if (attempt.exchange.command.isWrite) {
             writes[0]++;
             writes[1] += error;
         }
-        if (attempt.number > 0) {
+        if (attempt.index > 0) {
             further[0]++;
             further[1] += error;
         }
--- a/src/main/java/eiderscale/net/Dialer.java
+++ b/src/main/java/eiderscale/net/Dialer.java
@@ -13,8 +13,8 @@
  */
 final class Dialer {
     /** What is written late tells a deadline that is too long, and may reach a host that drains. */
-    private static final StreamChannel.FailureLimits LIMITS =
-            new StreamChannel.FailureLimits(100 * Clock.MILLISECOND, 20 * Clock.MILLISECOND);
+    private static final RetryingSocketChannel.RetryTimeouts LIMITS =
+            new RetryingSocketChannel.RetryTimeouts(100 * Clock.MILLISECOND, 20 * Clock.MILLISECOND);
 
     private final EventLoop loop;
     private final Counters counters;
@@ -35,7 +35,7 @@
         if (!loop.inEventLoop()) {
             throw new IllegalStateException("not on the event loop");
         }
-        StreamChannel channel = open();
+        RetryingSocketChannel channel = open();
         channel.config().setConnectTimeoutMillis(timeoutMs);
         channel.pipeline().addLast(handlers);
         ChannelFuture registered = loop.register(channel);
@@ -52,9 +52,9 @@
         return connected;
     }
 
-    private StreamChannel open() throws NoSocketException {
+    private RetryingSocketChannel open() throws NoSocketException {
         try {
-            return new StreamChannel(LIMITS, counters);
+            return new RetryingSocketChannel(LIMITS, counters);
         } catch (RuntimeException e) {
             throw new NoSocketException(e);
         }
--- /dev/null
+++ b/src/main/java/eiderscale/net/DrainingRecvByteBufAllocator.java
@@ -0,0 +1,55 @@
+package eiderscale.net;
+
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.ChannelConfig;
+import io.netty.channel.RecvByteBufAllocator;
+
+/**
+ * Continues the read loop until nothing is left to read, so that the end of a client's stream is detected together with
+ * its last commands and not after them. A short read does not end the loop, as it does not mean that the socket is
+ * empty; the loop is bounded by a number of bytes and of reads.
+ */
+@SuppressWarnings("deprecation") // RecvByteBufAllocator.newHandle() returns the deprecated type Handle.
+final class DrainingRecvByteBufAllocator implements RecvByteBufAllocator {
+    private static final long MAX_BYTES_PER_READ_LOOP = 1024 * 1024;
+    private static final int MAX_READS_PER_READ_LOOP = 4_096;
+    /** Chooses the sizes of the buffers. */
+    private final RecvByteBufAllocator bufferSizer = new AdaptiveRecvByteBufAllocator();
+
+    @Override
+    public Handle newHandle() {
+        return new DrainingHandle(bufferSizer.newHandle());
+    }
+
+    /** Limits one read loop of a channel. */
+    private static final class DrainingHandle extends DelegatingHandle {
+        private ChannelConfig config;
+        private int readCount;
+        private long totalBytesRead;
+
+        DrainingHandle(Handle bufferSizer) {
+            super(bufferSizer);
+        }
+
+        @Override
+        public void reset(ChannelConfig config) {
+            super.reset(config);
+            this.config = config;
+            readCount = 0;
+            totalBytesRead = 0;
+        }
+
+        @Override
+        public void lastBytesRead(int bytes) {
+            super.lastBytesRead(bytes);
+            readCount++;
+            totalBytesRead += Math.max(0, bytes);
+        }
+
+        @Override
+        public boolean continueReading() {
+            return config.isAutoRead() && lastBytesRead() > 0
+                    && readCount < MAX_READS_PER_READ_LOOP && totalBytesRead < MAX_BYTES_PER_READ_LOOP;
+        }
+    }
+}
--- a/src/main/java/eiderscale/net/Exchange.java
+++ b/src/main/java/eiderscale/net/Exchange.java
@@ -4,46 +4,58 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was taken, from its arrival until the outcome of its last attempt. */
+/**
+ * A client's request and its reply: kept from the arrival of the request until its last attempt has an outcome,
+ * which may come after the reply. Used on the event loop only.
+ */
 final class Exchange {
-    /** Where the one final answer goes. */
-    interface Client {
-        void answer(String line, byte[] data);
+    /** Receives the final reply to a request, once. */
+    interface ReplyHandler {
+        /**
+         * @param line the reply line with its CRLF
+         * @param data the data block without its CRLF, or null
+         */
+        void reply(String line, byte[] data);
     }
 
+    /** Identifies the request to the decision module. */
     final long id;
     final Command command;
-    /** The latest moment for a final answer, on this program's clock. */
+    /** When the reply is due at the latest, in nanoseconds of {@link Clock}. */
     final long deadline;
+    /** All attempts so far, completed ones included. */
     final List<Attempt> attempts = new ArrayList<>(2);
-    private final Client client;
-    int pending;
-    /** Answered, or the client is gone: nothing is owed and nothing new goes out. */
-    boolean over;
-    /** Some attempt may have run. */
+    private final ReplyHandler replyHandler;
+    /** Attempts whose outcome has not been reported to the decision module. */
+    int pendingAttempts;
+    /** Whether the reply was given or the client has disconnected; no further attempts are sent. */
+    boolean isClosed;
+    /** Whether a completed attempt may have been executed by its cache host. */
     boolean mayHaveRun;
-    Future<?> lastCall;
+    /** Ends the request shortly after its deadline if it is still open then. */
+    Future<?> deadlineTimer;
 
-    Exchange(long id, Command command, long deadline, Client client) {
+    Exchange(long id, Command command, long deadline, ReplyHandler replyHandler) {
         this.id = id;
         this.command = command;
         this.deadline = deadline;
-        this.client = client;
+        this.replyHandler = replyHandler;
     }
 
-    /** Closes the request; true the first time only, so that there is never a second answer. */
+    /** Closes the request; returns true on the first call only, so that there is never a second reply. */
     boolean close() {
-        boolean first = !over;
-        over = true;
-        if (first && lastCall != null) {
-            lastCall.cancel(false);
+        boolean isFirstClose = !isClosed;
+        isClosed = true;
+        if (isFirstClose && deadlineTimer != null) {
+            deadlineTimer.cancel(false);
         }
-        return first;
+        return isFirstClose;
     }
 
-    void answer(String line, byte[] data) {
+    /** Gives the final reply unless the request is closed already. */
+    void reply(String line, byte[] data) {
         if (close()) {
-            client.answer(line, data);
+            replyHandler.reply(line, data);
         }
     }
 }
--- a/src/main/java/eiderscale/net/HostPool.java
+++ b/src/main/java/eiderscale/net/HostPool.java
@@ -164,7 +164,7 @@
 
     /** Ends the wait for an attempt. One that was written costs its connection, as its answer may still come. */
     void abandon(Attempt attempt) {
-        Link link = attempt.link;
+        Link link = attempt.connection;
         if (link != null) {
             link.release();
             if (link.sent != null) {
@@ -220,7 +220,7 @@
     final class Link extends SimpleChannelInboundHandler<MetaFrame> {
         private final Host host;
         private final int generation;
-        private final MetaDecoder decoder = MetaDecoder.ofAnswers();
+        private final MetaDecoder decoder = MetaDecoder.forResponses();
         private State state = State.CONNECTING;
         private Channel channel;
         /** What it carries, or will once it is up. */
@@ -263,11 +263,11 @@
 
         private void carry(Attempt next) {
             attempt = next;
-            next.link = this;
+            next.connection = this;
         }
 
         private void release() {
-            attempt.link = null;
+            attempt.connection = null;
             attempt = null;
         }
 
@@ -294,7 +294,7 @@
                 return;
             }
             state = State.CARRYING;
-            long leftMs = Math.max(1, (attempt.cutAt - now) / Clock.MILLISECOND);
+            long leftMs = Math.max(1, (attempt.deadline - now) / Clock.MILLISECOND);
             ByteBuf bytes = attempt.exchange.command.encode(channel.alloc(), leftMs);
             counters.way(now - attempt.sentAt);
             sent = channel.writeAndFlush(bytes);
@@ -311,7 +311,7 @@
             boolean garbage = reason == null;
             if (garbage) {
                 Counters.log("a cache host broke the protocol: "
-                        + (answer.fault() != null ? answer.fault() : answer.words()));
+                        + (answer.protocolError() != null ? answer.protocolError() : answer.tokens()));
             }
             if (reason == Reason.REJECTED && answeredAt == 0) {
                 // A host with no place for the connection says so to its first request and closes it. The connection
@@ -325,16 +325,16 @@
 
         /** What an answer means; null for what the protocol does not allow. */
         private static Reason judge(Command command, MetaFrame answer) {
-            if (answer.fault() != null) {
+            if (answer.protocolError() != null) {
                 return null;
             }
-            if (answer.is(0, "SERVER_ERROR")) {
-                return answer.is(1, "busy") ? Reason.REJECTED : answer.is(1, "failed") ? Reason.ERROR : null;
+            if (answer.tokenIs(0, "SERVER_ERROR")) {
+                return answer.tokenIs(1, "busy") ? Reason.REJECTED : answer.tokenIs(1, "failed") ? Reason.ERROR : null;
             }
-            int flags = answer.is(0, "VA") ? 2 : 1;
-            boolean kind = command.write ? answer.is(0, "HD") && answer.flag(flags, 'c') != null
-                    : answer.is(0, "VA");
-            return kind && command.opaque.equals(answer.flag(flags, 'O')) ? Reason.OK : null;
+            int flags = answer.tokenIs(0, "VA") ? 2 : 1;
+            boolean kind = command.isWrite ? answer.tokenIs(0, "HD") && answer.flagValue(flags, 'c') != null
+                    : answer.tokenIs(0, "VA");
+            return kind && command.opaque.equals(answer.flagValue(flags, 'O')) ? Reason.OK : null;
         }
 
         private void finish(Reason reason, MetaFrame answer, boolean close) {
@@ -352,9 +352,9 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (state == State.SETTLING && !decoder.insideFrame()) {
+            if (state == State.SETTLING && !decoder.isInsideFrame()) {
                 goIdle();
-            } else if (state == State.SETTLING || state == State.IDLE && decoder.insideFrame()) {
+            } else if (state == State.SETTLING || state == State.IDLE && decoder.isInsideFrame()) {
                 // The beginning of a second answer, whose rest would be taken for the next one's.
                 close();
             }
--- a/src/main/java/eiderscale/net/ListeningChannel.java
+++ b/src/main/java/eiderscale/net/ListeningChannel.java
@@ -5,72 +5,77 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listening socket that knows since when it could not accept all connections waiting there. */
+/** A listening socket that tracks since when accept calls have failed, and so how long connections waited. */
 final class ListeningChannel extends NioServerSocketChannel {
-    /** A client's connection. */
-    static final class Accepted extends StreamChannel {
-        /** What a client has sent is owed an answer, however long the calls fail that would take or write it. */
-        private static final FailureLimits LIMITS = new FailureLimits(Clock.SECOND, Clock.SECOND);
+    /** A client connection. */
+    static final class AcceptedChannel extends RetryingSocketChannel {
+        /**
+         * 1 s each, which is long: a client that sent a request must get a reply even if reads or writes fail for a
+         * while.
+         */
+        private static final RetryTimeouts RETRY_TIMEOUTS = new RetryTimeouts(Clock.SECOND, Clock.SECOND);
 
-        /** The longest time, in nanoseconds, that it can have waited as accepting failed. */
-        final long heldUp;
+        /** The longest time, in nanoseconds, that it can have waited because accept calls failed. */
+        final long acceptDelayNs;
 
-        private Accepted(ListeningChannel parent, SocketChannel socket, long heldUp) {
-            super(parent, socket, LIMITS, parent.counters);
-            this.heldUp = heldUp;
+        private AcceptedChannel(ListeningChannel parent, SocketChannel socket, long acceptDelayNs) {
+            super(parent, socket, RETRY_TIMEOUTS, parent.counters);
+            this.acceptDelayNs = acceptDelayNs;
         }
     }
 
-    private static final int MOST_INTERRUPTIONS = 8;
-    private static final long NEVER = Long.MIN_VALUE;
+    /** Accept calls that may be interrupted by signals before the queue is taken to be empty. */
+    private static final int MAX_ACCEPT_TRIES = 8;
+    private static final long NOT_FAILING = Long.MIN_VALUE;
     private final Counters counters;
-    private long failingSince = NEVER;
+    /** When the first of the accept calls failed after which the queue has not been emptied yet. */
+    private long failingSince = NOT_FAILING;
 
     ListeningChannel(Counters counters) {
         this.counters = counters;
     }
 
-    /** Whether connections may be waiting since an attempt to accept them failed. */
-    boolean failing() {
-        return failingSince != NEVER;
+    /** Whether connections may still be in the accept queue because an accept call failed. */
+    boolean isFailing() {
+        return failingSince != NOT_FAILING;
     }
 
-    /** Accepts what waits, without a word from the selector that anything does. */
-    void acceptNow() {
+    /** Accepts the waiting connections without an event from the selector. */
+    void acceptPending() {
         unsafe().read();
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        SocketChannel socket = accept();
-        // The selector has reported a connection, so that a first call with none may have been interrupted.
-        for (int i = 1; socket == null && accepted.isEmpty() && i < MOST_INTERRUPTIONS; i++) {
-            socket = accept();
+        SocketChannel socket = acceptSocket();
+        // The selector has reported a connection, so a first call that returns none may have been interrupted.
+        for (int i = 1; socket == null && accepted.isEmpty() && i < MAX_ACCEPT_TRIES; i++) {
+            socket = acceptSocket();
         }
         if (socket == null) {
-            failingSince = NEVER;
+            failingSince = NOT_FAILING;
             return 0;
         }
-        return add(accepted, socket) ? 1 : 0;
+        return addAccepted(accepted, socket) ? 1 : 0;
     }
 
-    /** One connection that cannot be set up must not end the listening, as an exception from here would. */
-    private boolean add(List<Object> accepted, SocketChannel socket) throws IOException {
+    /** Adds a connection. One that cannot be set up is closed: an exception would close the listening socket. */
+    private boolean addAccepted(List<Object> accepted, SocketChannel socket) throws IOException {
         try {
-            accepted.add(new Accepted(this, socket, failing() ? Clock.now() - failingSince : 0));
+            accepted.add(new AcceptedChannel(this, socket, isFailing() ? Clock.now() - failingSince : 0));
             return true;
         } catch (RuntimeException e) {
-            Counters.log("a connection was accepted in vain", e);
+            Counters.log("cannot set up an accepted connection", e);
             socket.close();
             return false;
         }
     }
 
-    private SocketChannel accept() throws IOException {
+    private SocketChannel acceptSocket() throws IOException {
         try {
             return javaChannel().accept();
         } catch (IOException e) {
-            failingSince = failing() ? failingSince : Clock.now();
+            failingSince = isFailing() ? failingSince : Clock.now();
             throw e;
         }
     }
--- a/src/main/java/eiderscale/net/MetaDecoder.java
+++ b/src/main/java/eiderscale/net/MetaDecoder.java
@@ -9,134 +9,150 @@
 import java.util.List;
 
 /**
- * Cuts a byte stream into {@link MetaFrame}s, strictly and within bounds: an overlong line or value is
- * passed over as it comes in, never gathered, and the stream goes on behind it.
+ * Decodes a byte stream into {@link MetaFrame}s. The syntax is checked strictly and memory is bounded: an overlong
+ * line or value is discarded while it arrives, never buffered as a whole, and decoding continues after it.
+ *
+ * <p>Decoding can be paused while reading continues, so that the end of the stream is still detected.
  */
 final class MetaDecoder extends ByteToMessageDecoder {
-    /** Far above the longest honest line: a key of 250 bytes, an id and a list of figures. */
-    static final int MOST_LINE = 2048;
-    /** Bytes held back before reading stops, and with it the sight of the sender's end. */
-    private static final int MOST_HELD = 512 * 1024;
-    private static final int MOST_DIGITS = 9;
-    private static final int CRLF = 2;
-    private static final String BAD_CHUNK = "CLIENT_ERROR bad data chunk";
-
-    private final String dataWord;
-    private final int lengthAt;
-    private List<String> words;
+    /** Far above the longest valid line, which holds a key of 250 bytes, an opaque and a list of parameters. */
+    static final int MAX_LINE_BYTES = 2048;
+    /** Undecoded bytes above which reading stops; the end of the stream is not detected from then on. */
+    private static final int MAX_BUFFERED_BYTES = 512 * 1024;
+    /** Keeps the length of a data block within an int. */
+    private static final int MAX_LENGTH_DIGITS = 9;
+    private static final int CRLF_BYTES = 2;
+    private static final String BAD_DATA_CHUNK = "CLIENT_ERROR bad data chunk";
+
+    /** First token of the lines that are followed by a data block. */
+    private final String dataKeyword;
+    /** Index of the token of such a line that holds the length of the data block. */
+    private final int lengthIndex;
+    /** The line of the data block being read. */
+    private List<String> dataLineTokens;
+    /** The data block being read, null if there is none. */
     private byte[] data;
-    private int filled;
-    /** Bytes of an overlong value still to be passed over, and whether the rest of a line is. */
-    private long skip;
-    private boolean skipLine;
-    private Mode mode = Mode.DECODE;
+    private int dataBytesRead;
+    /** Bytes of an overlong data block and its CRLF that are still to be discarded. */
+    private long bytesToDiscard;
+    /** Whether input is discarded up to the next line feed. */
+    private boolean isDiscardingLine;
+    private Mode mode = Mode.DECODING;
 
-    private MetaDecoder(String dataWord, int lengthAt) {
-        this.dataWord = dataWord;
-        this.lengthAt = lengthAt;
+    private MetaDecoder(String dataKeyword, int lengthIndex) {
+        this.dataKeyword = dataKeyword;
+        this.lengthIndex = lengthIndex;
     }
 
-    /** Reads what clients send: {@code ms} brings data. */
-    static MetaDecoder ofCommands() {
+    /** A decoder of client commands, of which {@code ms} has a data block. */
+    static MetaDecoder forCommands() {
         return new MetaDecoder("ms", 2);
     }
 
-    /** Reads what cache hosts answer: {@code VA} brings data. */
-    static MetaDecoder ofAnswers() {
+    /** A decoder of cache host responses, of which {@code VA} has a data block. */
+    static MetaDecoder forResponses() {
         return new MetaDecoder("VA", 1);
     }
 
-    /** {@code SHED}: decodes as usual, for frames that are to be refused. */
-    private enum Mode { DECODE, HOLD, SHED, DROP }
+    private enum Mode {
+        DECODING,
+        /** Input is buffered undecoded. */
+        PAUSED,
+        /** Buffered input is decoded as usual, but its frames are to be rejected by the receiver. */
+        REJECTING,
+        DISCARDING
+    }
 
-    /** Holds back what comes in from now on, so that its sender's end is still seen behind it. */
-    void hold() {
-        mode = mode == Mode.DECODE ? Mode.HOLD : mode;
+    /** Buffers further input undecoded; reading continues, so that the end of the stream is still detected. */
+    void pause() {
+        mode = mode == Mode.DECODING ? Mode.PAUSED : mode;
     }
 
-    boolean holds() {
-        return mode == Mode.HOLD;
+    boolean isPaused() {
+        return mode == Mode.PAUSED;
     }
 
-    /** Goes on with what was held back, within this call. */
-    void release(ChannelHandlerContext ctx) throws Exception {
-        mode = mode == Mode.HOLD ? Mode.DECODE : mode;
+    /** Ends the pause and decodes the buffered input within this call. */
+    void resume(ChannelHandlerContext ctx) throws Exception {
+        mode = mode == Mode.PAUSED ? Mode.DECODING : mode;
         channelRead(ctx, Unpooled.EMPTY_BUFFER);
     }
 
-    /** Hands out what was held back for being refused, within this call, and holds back what comes after. */
-    void shed(ChannelHandlerContext ctx) throws Exception {
-        mode = mode == Mode.HOLD ? Mode.SHED : mode;
+    /** Decodes the buffered input within this call, for its frames to be rejected; then stays paused. */
+    void decodeForRejection(ChannelHandlerContext ctx) throws Exception {
+        mode = mode == Mode.PAUSED ? Mode.REJECTING : mode;
         try {
             channelRead(ctx, Unpooled.EMPTY_BUFFER);
         } finally {
-            mode = mode == Mode.SHED ? Mode.HOLD : mode;
+            mode = mode == Mode.REJECTING ? Mode.PAUSED : mode;
         }
     }
 
-    boolean sheds() {
-        return mode == Mode.SHED;
+    /** Whether the frames that are being handed out are to be rejected. */
+    boolean isRejecting() {
+        return mode == Mode.REJECTING;
     }
 
-    /** Passes over all that comes from now on. */
-    void drop() {
-        mode = Mode.DROP;
+    /** Discards all buffered and further input, permanently. */
+    void discardInput() {
+        mode = Mode.DISCARDING;
     }
 
-    boolean drops() {
-        return mode == Mode.DROP;
+    boolean isDiscarding() {
+        return mode == Mode.DISCARDING;
     }
 
-    /** Whether so much is held back that reading has to stop. */
-    boolean full() {
-        return held() > MOST_HELD;
+    /** Whether so much input is buffered that reading has to stop. */
+    boolean isBufferFull() {
+        return bufferedBytes() > MAX_BUFFERED_BYTES;
     }
 
-    /** Bytes that are held back. */
-    int held() {
-        return mode == Mode.HOLD ? actualReadableBytes() : 0;
+    /** Undecoded bytes buffered while paused; 0 in other modes. */
+    int bufferedBytes() {
+        return mode == Mode.PAUSED ? actualReadableBytes() : 0;
     }
 
-    /** Whether the stream stands inside a frame: what comes next is not the start of one. */
-    boolean insideFrame() {
-        return data != null || skip > 0 || skipLine || actualReadableBytes() > 0;
+    /** Whether the next byte of input continues a frame, valid or not, that has begun to arrive. */
+    boolean isInsideFrame() {
+        return data != null || bytesToDiscard > 0 || isDiscardingLine || actualReadableBytes() > 0;
     }
 
-    /** Whether the beginning of a frame has come that nothing is said about yet. */
-    boolean awaitsRest() {
-        return mode == Mode.DECODE && (data != null || skip == 0 && !skipLine && actualReadableBytes() > 0);
+    /** Whether a frame has begun to arrive for which nothing was handed out yet, not even an error. */
+    boolean hasIncompleteFrame() {
+        return mode == Mode.DECODING
+                && (data != null || bytesToDiscard == 0 && !isDiscardingLine && actualReadableBytes() > 0);
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (mode == Mode.DROP) {
+        if (mode == Mode.DISCARDING) {
             in.skipBytes(in.readableBytes());
             return;
         }
-        if (mode == Mode.HOLD) {
-            if (full()) {
+        if (mode == Mode.PAUSED) {
+            if (isBufferFull()) {
                 ctx.channel().config().setAutoRead(false);
             }
             return;
         }
-        if (skip > 0) {
-            int passed = (int) Math.min(skip, in.readableBytes());
-            in.skipBytes(passed);
-            skip -= passed;
+        if (bytesToDiscard > 0) {
+            int discarded = (int) Math.min(bytesToDiscard, in.readableBytes());
+            in.skipBytes(discarded);
+            bytesToDiscard -= discarded;
         } else if (data != null) {
-            readData(in, out);
+            decodeData(in, out);
         } else {
-            readLine(in, out);
+            decodeLine(in, out);
         }
     }
 
-    private void readLine(ByteBuf in, List<Object> out) {
+    private void decodeLine(ByteBuf in, List<Object> out) {
         int length = in.bytesBefore((byte) '\n');
-        if (skipLine || length > MOST_LINE || length < 0 && in.readableBytes() > MOST_LINE) {
-            if (!skipLine) {
-                out.add(MetaFrame.fault("CLIENT_ERROR line too long"));
+        if (isDiscardingLine || length > MAX_LINE_BYTES || length < 0 && in.readableBytes() > MAX_LINE_BYTES) {
+            if (!isDiscardingLine) {
+                out.add(MetaFrame.protocolError("CLIENT_ERROR line too long"));
             }
-            skipLine = length < 0;
+            isDiscardingLine = length < 0;
             in.skipBytes(length < 0 ? in.readableBytes() : length + 1);
             return;
         }
@@ -146,15 +162,15 @@
         String line = in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
         in.skipBytes(1);
         if (!line.endsWith("\r")) {
-            out.add(MetaFrame.fault("CLIENT_ERROR lines end in CRLF"));
+            out.add(MetaFrame.protocolError("CLIENT_ERROR lines end in CRLF"));
         } else {
-            take(line.substring(0, length - 1), out);
+            parseLine(line.substring(0, length - 1), out);
         }
     }
 
-    private void take(String line, List<Object> out) {
+    private void parseLine(String line, List<Object> out) {
         if (line.chars().anyMatch(c -> c < ' ' || c == 0x7f)) {
-            out.add(MetaFrame.fault("CLIENT_ERROR control character in line"));
+            out.add(MetaFrame.protocolError("CLIENT_ERROR control character in line"));
             return;
         }
         List<String> tokens = new ArrayList<>();
@@ -164,46 +180,47 @@
             }
         }
         if (tokens.isEmpty()) {
-            out.add(MetaFrame.fault("ERROR"));
-        } else if (!tokens.get(0).equals(dataWord)) {
+            out.add(MetaFrame.protocolError("ERROR"));
+        } else if (!tokens.get(0).equals(dataKeyword)) {
             out.add(new MetaFrame(tokens, null, null));
         } else {
-            startData(tokens, out);
+            beginData(tokens, out);
         }
     }
 
-    private void startData(List<String> tokens, List<Object> out) {
-        String text = tokens.size() > lengthAt ? tokens.get(lengthAt) : "";
-        if (text.isEmpty() || text.length() > MOST_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            out.add(MetaFrame.fault(BAD_CHUNK));
+    private void beginData(List<String> tokens, List<Object> out) {
+        String lengthToken = tokens.size() > lengthIndex ? tokens.get(lengthIndex) : "";
+        if (lengthToken.isEmpty() || lengthToken.length() > MAX_LENGTH_DIGITS
+                || !lengthToken.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            out.add(MetaFrame.protocolError(BAD_DATA_CHUNK));
             return;
         }
-        int length = Integer.parseInt(text);
-        if (length > MetaFrame.MOST_VALUE) {
-            skip = (long) length + CRLF;
-            out.add(MetaFrame.fault("CLIENT_ERROR value too large"));
+        int length = Integer.parseInt(lengthToken);
+        if (length > MetaFrame.MAX_VALUE_BYTES) {
+            bytesToDiscard = (long) length + CRLF_BYTES;
+            out.add(MetaFrame.protocolError("CLIENT_ERROR value too large"));
             return;
         }
-        words = tokens;
+        dataLineTokens = tokens;
         data = new byte[length];
-        filled = 0;
+        dataBytesRead = 0;
     }
 
-    private void readData(ByteBuf in, List<Object> out) {
-        int some = Math.min(data.length - filled, in.readableBytes());
-        in.readBytes(data, filled, some);
-        filled += some;
-        if (filled < data.length || in.readableBytes() < CRLF) {
+    private void decodeData(ByteBuf in, List<Object> out) {
+        int count = Math.min(data.length - dataBytesRead, in.readableBytes());
+        in.readBytes(data, dataBytesRead, count);
+        dataBytesRead += count;
+        if (dataBytesRead < data.length || in.readableBytes() < CRLF_BYTES) {
             return;
         }
-        byte[] whole = data;
+        byte[] completeData = data;
         data = null;
         if (in.getByte(in.readerIndex()) == '\r' && in.getByte(in.readerIndex() + 1) == '\n') {
-            in.skipBytes(CRLF);
-            out.add(new MetaFrame(words, whole, null));
+            in.skipBytes(CRLF_BYTES);
+            out.add(new MetaFrame(dataLineTokens, completeData, null));
         } else {
-            out.add(MetaFrame.fault(BAD_CHUNK));
-            skipLine = true;
+            out.add(MetaFrame.protocolError(BAD_DATA_CHUNK));
+            isDiscardingLine = true;
         }
     }
 }
--- a/src/main/java/eiderscale/net/MetaFrame.java
+++ b/src/main/java/eiderscale/net/MetaFrame.java
@@ -3,26 +3,31 @@
 import java.util.List;
 
 /**
- * One line of the meta protocol with its data block, in either direction. Where {@code fault} is set the
- * line broke the protocol and {@code fault} is what its sender should be told.
+ * One line of the memcache meta protocol with its data block: a command or a response.
+ *
+ * @param tokens the line, split at spaces; empty after a protocol error, else at least one token
+ * @param data the data block without its CRLF, null if there is none
+ * @param protocolError the error reply for the sender, without CRLF, if the input was invalid; else null
  */
-record MetaFrame(List<String> words, byte[] data, String fault) {
-    /** Values may hold so many bytes. */
-    static final int MOST_VALUE = 64 * 1024;
+record MetaFrame(List<String> tokens, byte[] data, String protocolError) {
+    /** Maximum size of a data block. */
+    static final int MAX_VALUE_BYTES = 64 * 1024;
 
-    static MetaFrame fault(String answer) {
-        return new MetaFrame(List.of(), null, answer);
+    /** A frame that stands for invalid input. */
+    static MetaFrame protocolError(String errorReply) {
+        return new MetaFrame(List.of(), null, errorReply);
     }
 
-    boolean is(int at, String word) {
-        return at < words.size() && words.get(at).equals(word);
+    /** Whether there is a token at that index and it is equal to {@code token}. */
+    boolean tokenIs(int index, String token) {
+        return index < tokens.size() && tokens.get(index).equals(token);
     }
 
-    /** The token of a flag behind the first {@code from} words, without its letter; null if absent. */
-    String flag(int from, char letter) {
-        for (int i = from; i < words.size(); i++) {
-            if (words.get(i).charAt(0) == letter) {
-                return words.get(i).substring(1);
+    /** The value of the flag with that letter among the tokens from {@code firstFlag} on; null if absent. */
+    String flagValue(int firstFlag, char letter) {
+        for (int i = firstFlag; i < tokens.size(); i++) {
+            if (tokens.get(i).charAt(0) == letter) {
+                return tokens.get(i).substring(1);
             }
         }
         return null;
--- a/src/main/java/eiderscale/net/Node.java
+++ b/src/main/java/eiderscale/net/Node.java
@@ -107,7 +107,7 @@
             settleAll();
         }
         // Past that only a client that does not read can still be there.
-        if (server.ended() && balancer.open() == 0 || now >= settleAt + LAST_WAY) {
+        if (server.isTerminated() && balancer.open() == 0 || now >= settleAt + LAST_WAY) {
             print();
             done.setSuccess(null);
         } else {
--- a/src/test/java/eiderscale/net/CrossingsTest.java
+++ b/src/test/java/eiderscale/net/CrossingsTest.java
@@ -59,7 +59,7 @@
     /** A close with bytes left unread is a reset, which destroyed what was still on its way to the client. */
     @Test
     void bytesThatCrossOurEndDoNotDestroyTheAnswerOnItsWay() throws Exception {
-        String value = "v".repeat(MetaFrame.MOST_VALUE);
+        String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
         try (Rig rig = new Rig(FakeHost.answering(c -> FakeHost.value(c, value))).start();
                 Peer client = rig.slowClient()) {
             client.write(Rig.READ + "\r\nquit\r\n");
--- a/src/test/java/eiderscale/net/ServingTest.java
+++ b/src/test/java/eiderscale/net/ServingTest.java
@@ -220,7 +220,7 @@
 
     @Test
     void theLongestValueIsServedWhole() throws Exception {
-        String value = "v".repeat(MetaFrame.MOST_VALUE);
+        String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
         try (Rig rig = new Rig(FakeHost.answering(c -> FakeHost.value(c, value))).start();
                 Peer client = rig.client()) {
             assertEquals("VA 65536 O1", client.ask(Rig.READ));
--- a/src/test/java/eiderscale/net/StopTest.java
+++ b/src/test/java/eiderscale/net/StopTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void aStopServesOnForAWhileThenFinishesWhatIsOpen() throws Exception {
-        String value = "v".repeat(MetaFrame.MOST_VALUE);
+        String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
         FakeHost[] host = new FakeHost[1];
         host[0] = new FakeHost(peer -> {
             String command = host[0].next(peer);
