--- a/src/main/java/eiderscale/net/Balancer.java
+++ b/src/main/java/eiderscale/net/Balancer.java
@@ -38,7 +38,7 @@
     private record Event(Exchange exchange, Runnable action) {
     }
 
-    private final Site site;
+    private final SiteSettings site;
     private final EventLoop loop;
     private final Counters counters;
     private final Api.Events router;
@@ -58,8 +58,8 @@
         this.counters = counters;
         this.pool = new HostPool(site, loop, counters, mostConnections, this);
         this.discovery = new Discovery(config, loop, counters, this);
-        this.router = module.create(site.settings, config.seed(), this);
-        Catalog known = config.known();
+        this.router = module.create(site.settings, config.randomSeed(), this);
+        Catalog known = config.initialCatalog();
         onList(Api.ListMode.CACHED, known.members());
         discovery.start();
     }
@@ -77,7 +77,7 @@
         counters.taken++;
         int bytes = bytes(command);
         // Running out of room is told to the client: a refusal of what never went out does no harm.
-        if (open >= site.maxOpen || bytes > 0 && held + bytes > MOST_HELD) {
+        if (open >= site.maxOpenRequests || bytes > 0 && held + bytes > MOST_HELD) {
             counters.localRefusals++;
             answerRefused(exchange, 0);
             return exchange;
@@ -127,7 +127,7 @@
         end(attempt, reason, answer);
     }
 
-    Site site() {
+    SiteSettings site() {
         return site;
     }
 
@@ -143,12 +143,12 @@
 
     /** Done once requests may be served by the list held. */
     Future<Void> informed() {
-        return discovery.informed();
+        return discovery.ready();
     }
 
     /** Discovery is elsewhere from now on. */
     void discoveryAt(InetSocketAddress address) {
-        discovery.moveTo(address);
+        discovery.changeAddress(address);
     }
 
     /** Closes what the pool holds idle for too long; called once in a while. */
@@ -257,7 +257,7 @@
                 exchange.reply(answerLine(exchange.command, answer), answer.data());
                 withdrawUnsent(exchange);
             }
-            float[] report = site.report(answer == null ? null : answer.flagValue(1, 'L'));
+            float[] report = site.parseReport(answer == null ? null : answer.flagValue(1, 'L'));
             long now = Clock.now();
             router.onOutcome(now, new Api.Outcome(exchange.id, attempt.index, reason, now - attempt.sentAt,
                     exchange.isClosed, report));
--- a/src/main/java/eiderscale/net/ClassPreloader.java
+++ b/src/main/java/eiderscale/net/ClassPreloader.java
@@ -14,54 +14,56 @@
 import java.util.stream.Stream;
 
 /**
- * Loads at the start what would be loaded when it is first needed. A class whose file cannot be read at that moment is
- * missing for good, and most that are needed late belong to the ways in which failures are dealt with.
+ * Loads classes at startup that the JVM would otherwise load on first use. A class whose file cannot be read on first
+ * use stays unavailable for good, and most classes that are first used late belong to failure handling.
  */
 final class ClassPreloader {
-    /** Classes of libraries that are first needed once the program serves, a name in each line. */
-    private static final String LIBRARY_CLASSES = "library-classes.txt";
-    private static final String OWN_FOLDER = "eiderscale/";
-    private static final String SUFFIX = ".class";
+    /** Resource with the library classes that are first used while serving, one name per line. */
+    private static final String LIBRARY_CLASSES_FILE = "library-classes.txt";
+    private static final String OWN_PACKAGE_PATH = "eiderscale/";
+    private static final String CLASS_FILE_SUFFIX = ".class";
 
     private ClassPreloader() {
     }
 
-    /** Loads them all. Fails if a file cannot be read or a class is not there; to be called again then. */
+    /** Loads all listed classes. Fails if a file cannot be read or a class is missing; it may then be called again. */
     static void load() throws IOException, ClassNotFoundException {
         ClassLoader loader = ClassPreloader.class.getClassLoader();
-        for (String name : names()) {
+        for (String name : allClassNames()) {
             Class.forName(name, false, loader);
         }
     }
 
-    static List<String> names() throws IOException {
+    /** Returns the listed library classes and all classes of this program. */
+    static List<String> allClassNames() throws IOException {
         List<String> names = new ArrayList<>(libraryClasses());
         names.addAll(ownClasses());
         return names;
     }
 
     private static List<String> libraryClasses() throws IOException {
-        try (InputStream list = ClassPreloader.class.getResourceAsStream(LIBRARY_CLASSES)) {
+        try (InputStream list = ClassPreloader.class.getResourceAsStream(LIBRARY_CLASSES_FILE)) {
             if (list == null) {
-                throw new IOException("no " + LIBRARY_CLASSES);
+                throw new IOException("missing resource: " + LIBRARY_CLASSES_FILE);
             }
             return new BufferedReader(new InputStreamReader(list, StandardCharsets.UTF_8)).lines().toList();
         }
     }
 
     private static List<String> ownClasses() throws IOException {
-        Path place = place();
-        if (!Files.isDirectory(place)) {
-            try (JarFile jar = new JarFile(place.toFile())) {
-                return classNames(jar.stream().map(entry -> entry.getName()));
+        Path location = codeLocation();
+        if (!Files.isDirectory(location)) {
+            try (JarFile jar = new JarFile(location.toFile())) {
+                return toClassNames(jar.stream().map(entry -> entry.getName()));
             }
         }
-        try (Stream<Path> files = Files.walk(place)) {
-            return classNames(files.map(file -> place.relativize(file).toString()));
+        try (Stream<Path> files = Files.walk(location)) {
+            return toClassNames(files.map(file -> location.relativize(file).toString()));
         }
     }
 
-    private static Path place() throws IOException {
+    /** The jar or the directory that this program's classes are loaded from. */
+    private static Path codeLocation() throws IOException {
         try {
             return Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         } catch (URISyntaxException e) {
@@ -69,8 +71,8 @@
         }
     }
 
-    private static List<String> classNames(Stream<String> files) {
-        return files.filter(file -> file.startsWith(OWN_FOLDER) && file.endsWith(SUFFIX))
-                .map(file -> file.substring(0, file.length() - SUFFIX.length()).replace('/', '.')).toList();
+    private static List<String> toClassNames(Stream<String> files) {
+        return files.filter(file -> file.startsWith(OWN_PACKAGE_PATH) && file.endsWith(CLASS_FILE_SUFFIX))
+                .map(file -> file.substring(0, file.length() - CLASS_FILE_SUFFIX.length()).replace('/', '.')).toList();
     }
 }
--- a/src/main/java/eiderscale/net/Command.java
+++ b/src/main/java/eiderscale/net/Command.java
@@ -54,7 +54,7 @@
     private int timeoutIndex = -1;
 
     /** @throws MalformedCommandException if a part is missing, invalid or names what the settings do not hold */
-    Command(MetaFrame frame, Site site) throws MalformedCommandException {
+    Command(MetaFrame frame, SiteSettings site) throws MalformedCommandException {
         isWrite = frame.tokenIs(0, "ms");
         value = frame.data();
         if (frame.tokens().size() < 2 || frame.tokens().get(1).length() > MAX_KEY_LENGTH) {
--- a/src/main/java/eiderscale/net/Config.java
+++ b/src/main/java/eiderscale/net/Config.java
@@ -7,11 +7,20 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** What the deployment tells this balancer. */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, double cores,
-              int sockets, Site site, Catalog known) {
-    private static final int DEFAULT_SOCKETS = 1024;
+/**
+ * The configuration of one balancer, read from a JSON file.
+ *
+ * @param randomSeed seed of the decision module's random numbers
+ * @param cores number of CPU cores, possibly fractional, that this balancer may use
+ * @param maxSockets number of file descriptors that it may use
+ * @param site the "settings" object of the file
+ * @param initialCatalog the list of hosts to start with, until discovery sends a newer one
+ */
+record Config(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, long randomSeed,
+              double cores, int maxSockets, SiteSettings site, Catalog initialCatalog) {
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
 
+    /** @throws ConfigException if the file cannot be read or is not a valid configuration */
     static Config read(String path) {
         if (path == null || path.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
@@ -25,35 +34,36 @@
         }
     }
 
-    /** Requests a second that tenants may send to this balancer within their shares; 0 if nothing is said. */
-    double perSecond() {
+    /** This balancer's part of the tenants' allowances, in requests per second; 0 if none is configured. */
+    double allowedRequestsPerSecond() {
         return site.settings.tenants().stream().mapToDouble(Api.Tenant::allowancePerSecond).sum()
                 / Math.max(1, site.settings.instances());
     }
 
-    /** The bounds that it runs within, for the log. */
-    String limits() {
-        return "cores " + cores + " for up to " + Math.round(perSecond()) + " requests/s sockets " + sockets
-                + " idle-close " + site.idleTime / Clock.MILLISECOND
-                + " ms connect " + site.connectTimeout / Clock.MILLISECOND + " ms attempts "
-                + site.settings.maxAttempts() + " aims " + site.settings.classes().stream()
-                .map(c -> c.aim() / Clock.MILLISECOND + " of " + c.deadline() / Clock.MILLISECOND + " ms").toList();
+    /** The limits that this balancer runs with, for the log. */
+    String describeLimits() {
+        return "cores " + cores + ", " + Math.round(allowedRequestsPerSecond()) + " requests/s, " + maxSockets
+                + " sockets, idle and connect timeouts " + site.idleTimeoutNs / Clock.MILLISECOND
+                + ", " + site.connectTimeoutNs / Clock.MILLISECOND + " ms, max attempts "
+                + site.settings.maxAttempts() + ", " + site.settings.classes().stream()
+                .map(requestClass -> requestClass.aim() / Clock.MILLISECOND + " ms goal / "
+                        + requestClass.deadline() / Clock.MILLISECOND + " ms deadline").toList();
     }
 
     static Config parse(Map<?, ?> json) {
-        Site site = new Site(Json.get(json, "settings", Map.class));
+        SiteSettings site = new SiteSettings(Json.get(json, "settings", Map.class));
         Map<?, ?> limits = Json.get(json, "limits", Map.class, Map.of());
         Map<?, ?> known = Json.get(json, "known", Map.class, Map.of("rev", 0, "all", true));
         try {
             return new Config(Json.get(json, "name", String.class, "balancer"),
-                    Catalog.address(Json.get(json, "listen", String.class)),
-                    Catalog.address(Json.get(json, "discovery", String.class)),
+                    Catalog.parseAddress(Json.get(json, "listen", String.class)),
+                    Catalog.parseAddress(Json.get(json, "discovery", String.class)),
                     Long.parseUnsignedLong(Json.get(json, "seed", String.class, "0"), 16),
                     Json.get(limits, "cores", Number.class, 1).doubleValue(),
-                    Json.get(limits, "sockets", Number.class, DEFAULT_SOCKETS).intValue(), site,
+                    Json.get(limits, "sockets", Number.class, DEFAULT_MAX_SOCKETS).intValue(), site,
                     Catalog.parse(known, site));
         } catch (NumberFormatException e) {
-            throw new ConfigException("'seed' is no hexadecimal number");
+            throw new ConfigException("'seed' is not a hexadecimal number");
         }
     }
 }
--- a/src/main/java/eiderscale/net/ConfigException.java
+++ b/src/main/java/eiderscale/net/ConfigException.java
@@ -1,6 +1,6 @@
 package eiderscale.net;
 
-/** The configuration, or a list from discovery, is not what the deployment promises. */
+/** Thrown when the configuration, or a list from discovery, is malformed or has unsupported values. */
 final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/eiderscale/net/ConfigReloader.java
+++ b/src/main/java/eiderscale/net/ConfigReloader.java
@@ -7,59 +7,61 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the configuration anew when told to, on a thread of its own. One that cannot be read, or is no configuration,
- * may still be being written: it is read again until it is whole, or until the next request to reload.
+ * Reloads the configuration on request, on a thread of its own. A file that is unreadable or invalid may still be being
+ * written: reading it is retried until it succeeds, the retry timeout passes, or another reload is requested.
  */
 final class ConfigReloader {
-    private static final long RETRY_MS = 100;
-    /** Nanoseconds from the request until a configuration that stays unreadable is given up. */
-    private static final long PATIENCE = 60 * Clock.SECOND;
+    private static final long RETRY_DELAY_MS = 100;
+    /** Time from the request after which reading is no longer retried. */
+    private static final long RETRY_TIMEOUT_NS = 60 * Clock.SECOND;
 
     private final Callable<Config> source;
-    private final Consumer<Config> replaced;
-    private final ScheduledThreadPoolExecutor reader = new ScheduledThreadPoolExecutor(1, ConfigReloader::thread);
-    private Future<?> next;
+    private final Consumer<Config> listener;
+    private final ScheduledThreadPoolExecutor executor =
+            new ScheduledThreadPoolExecutor(1, ConfigReloader::newDaemonThread);
+    private Future<?> pendingRead;
 
-    /** {@code replaced}: takes each configuration that was read, in the order of the requests. */
-    ConfigReloader(Callable<Config> source, Consumer<Config> replaced) {
+    /** {@code listener}: receives each configuration that was read, in the order of the requests. */
+    ConfigReloader(Callable<Config> source, Consumer<Config> listener) {
         this.source = source;
-        this.replaced = replaced;
-        // A thread may not be had later, when there is something to read.
-        reader.prestartCoreThread();
+        this.listener = listener;
+        // Started now, since creating a thread may fail later, when a reload is requested.
+        executor.prestartCoreThread();
     }
 
-    private static Thread thread(Runnable work) {
+    private static Thread newDaemonThread(Runnable work) {
         Thread thread = new Thread(work, "reload");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** May be called on any thread. */
+    /** Requests a reload and cancels the retries of the previous one. May be called on any thread. */
     synchronized void reload() {
-        if (next != null) {
-            next.cancel(false);
+        if (pendingRead != null) {
+            pendingRead.cancel(false);
         }
-        long begun = Clock.now();
-        next = reader.submit(() -> read(begun, true));
+        long requestedAt = Clock.now();
+        pendingRead = executor.submit(() -> read(requestedAt, true));
     }
 
-    private void read(long begun, boolean first) {
+    private void read(long requestedAt, boolean isFirstAttempt) {
         try {
-            replaced.accept(source.call());
+            listener.accept(source.call());
         } catch (Exception e) {
-            boolean last = Clock.now() - begun > PATIENCE;
-            if (first || last) {
-                Counters.log("the configuration stays as it was" + (last ? "" : " for now") + ": " + e.getMessage());
+            boolean isLastAttempt = Clock.now() - requestedAt > RETRY_TIMEOUT_NS;
+            if (isFirstAttempt || isLastAttempt) {
+                Counters.log("keeping the current configuration" + (isLastAttempt ? "" : ", retrying") + ": "
+                        + e.getMessage());
             }
-            if (!last) {
-                retry(begun);
+            if (!isLastAttempt) {
+                scheduleRetry(requestedAt);
             }
         }
     }
 
-    private synchronized void retry(long begun) {
-        if (!next.isCancelled()) {
-            next = reader.schedule(() -> read(begun, false), RETRY_MS, TimeUnit.MILLISECONDS);
+    private synchronized void scheduleRetry(long requestedAt) {
+        if (!pendingRead.isCancelled()) {
+            pendingRead = executor.schedule(() -> read(requestedAt, false), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/eiderscale/net/Discovery.java
+++ b/src/main/java/eiderscale/net/Discovery.java
@@ -24,187 +24,226 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows discovery's list of cache hosts: where it is asked for, from when the module asks until a call
- * fails; where it is pushed, from the start, as it counts as told whether or not a watch is open.
+ * Discovery client: watches the list of cache hosts with HTTP long polls, each from the last known revision.
+ *
+ * <p>With the setting {@code "discovery": "subscribe"} a watch runs from the decision module's subscription until a
+ * call fails. Otherwise (automatic) it runs from the start and is retried after failures, as the deployment then
+ * expects the balancer to know every change, whether or not a watch is open.
+ *
+ * <p>After a response timeout, a change of discovery's address or a failure on this machine, calls are retried fast for
+ * a while ({@link #FAST_RETRY_PERIOD_NS}): with a shorter long-poll timeout and without involving the decision module.
+ *
+ * <p>All methods are called on the event loop.
  */
 final class Discovery {
-    /** Hears every list in order. A failure ends the watch; the module says when to ask again. */
+    /**
+     * Receives every list in the order of arrival. {@link ListMode#FAILED} means that the watch has ended; the decision
+     * module decides when to subscribe again.
+     */
     interface Listener {
         void onList(ListMode mode, List<Catalog.Member> members);
     }
 
     /**
-     * How long a watch may wait for news. What a silent one misses counts as told 6 s after it fell silent: this and
-     * the silence leave three of them for calls that fail.
+     * Long-poll timeout: how long discovery may hold a call while nothing changes. The balancer is expected to know a
+     * change 6 s after the watch that missed it stopped responding; this timeout and the response grace take 3 s of
+     * that, which leaves 3 s for failed calls.
+     */
+    private static final long POLL_TIMEOUT_MS = 2_000;
+    /** Long-poll timeout during fast retry: the next unresponsive call must be detected sooner. */
+    private static final long FAST_POLL_TIMEOUT_MS = 500;
+    /**
+     * How long past its long-poll timeout a call may remain unanswered before it times out. Discovery may queue a call
+     * for up to 2 s before it handles it.
+     */
+    private static final long RESPONSE_GRACE_MS = 1_000;
+    /** Response grace during fast retry, multiplied by the number of consecutive timeouts. */
+    private static final long FAST_RESPONSE_GRACE_MS = 1_700;
+    private static final int MAX_RESPONSE_GRACE_FACTOR = 3;
+    /**
+     * Delay before retrying a failed call without involving the decision module: in automatic mode, and during fast
+     * retry. The balancer may be expected to know the list although calls fail.
+     */
+    private static final long RETRY_DELAY_MS = 250;
+    /**
+     * How long calls are retried fast after a response timeout, an address change or a failure on this machine. The
+     * balancer is expected to know the list at a new address 4 s after the change.
+     */
+    private static final long FAST_RETRY_PERIOD_NS = 4 * Clock.SECOND;
+    /** Longest wait at startup for the first list, which an automatic watch is expected to know from the start. */
+    private static final long FIRST_LIST_TIMEOUT_MS = 2_000;
+    /** Long-poll timeout of the first call, which discovery thus answers at once even if nothing has changed. */
+    private static final long FIRST_POLL_TIMEOUT_MS = 1;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    /**
+     * Minimum time between the starts of successive calls, in case discovery keeps answering at once. A watch may pause
+     * for up to 200 ms between calls.
      */
-    private static final long WAIT_MS = 2_000;
-    /** The same soon after a silence, a move or a failure on this machine: the next silence must not take as long. */
-    private static final long HURRIED_WAIT_MS = 500;
-    /** Silence for so long past that wait ends a watch; a call may have to wait in line for two seconds. */
-    private static final long SILENCE_MS = 1_000;
-    private static final long HURRIED_SILENCE_MS = 1_700;
-    private static final int MOST_SILENCES = 3;
-    /** Between calls that fail while the list may count as told without them. */
-    private static final long RETRY_MS = 250;
-    /** For so long after one of these; what an address has to tell counts as told 4 s after the move. */
-    private static final long HURRY = 4 * Clock.SECOND;
-    /** A start waits for so long at most until it knows the list that it counts as told of. */
-    private static final long FIRST_LIST_MS = 2_000;
-    /** A first call is answered at once, whether there is news or not. */
-    private static final long FIRST_WAIT_MS = 1;
-    private static final int CONNECT_MS = 1_000;
-    /** At most one call in this time, should answers come at once for ever; a watch allows 200 ms. */
-    private static final long LEAST_MS = 100;
-    private static final int MOST_BYTES = 4 * 1024 * 1024;
+    private static final long MIN_CALL_INTERVAL_MS = 100;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-    /** Between calls that fail on this machine: discovery never hears of them. */
-    private static final long LOCAL_RETRY_MS = 50;
+    /** Delay before retrying a call that failed on this machine: such calls never reach discovery and cause no load. */
+    private static final long LOCAL_FAILURE_RETRY_DELAY_MS = 50;
 
     /**
-     * {@code RESTING}: until the module asks. {@code WAITING}: for the moment of the next call. {@code CALLING}: until
-     * the call is answered, fails, or falls silent.
+     * {@code RESTING}: no watch, until the decision module subscribes. {@code WAITING}: the next call is scheduled.
+     * {@code CALLING}: a call is in flight, until it is answered, fails or times out.
      */
     private enum State { RESTING, WAITING, CALLING }
 
     private InetSocketAddress address;
-    private final Site site;
+    private final SiteSettings site;
     private final EventLoop loop;
     private final Dialer dialer;
     private final Counters counters;
     private final Listener listener;
-    private final boolean pushed;
-    private final Promise<Void> informed;
-    private long rev;
+    /** Whether the watch runs from the start, without a subscription from the decision module. */
+    private final boolean isAutomatic;
+    private final Promise<Void> ready;
+    private long revision;
     private State state = State.RESTING;
+    /** The latest call, null before the first one. */
     private Call call;
-    private Future<?> next;
-    private long calls;
-    private long heardAt;
-    /** Calls in a row that fell silent: with each the next one is given longer, as discovery may be slow. */
-    private int silences;
-    /** Until then failed calls are made again from here: the module's back-off would be late. */
-    private long hurryUntil;
+    /** The start of the next call; null before the first one. */
+    private Future<?> scheduledCall;
+    private long callCount;
+    /** When the latest list arrived, 0 if none has. */
+    private long lastListAt;
+    /** Consecutive calls that timed out: each lengthens the response grace of the next, as discovery may be slow. */
+    private int consecutiveTimeouts;
+    /** Until then failed calls are retried here: the decision module's backoff would take too long. */
+    private long fastRetryEndsAt;
 
     Discovery(Config config, EventLoop loop, Counters counters, Listener listener) {
-        this.address = config.discovery();
+        this.address = config.discoveryAddress();
         this.site = config.site();
         this.loop = loop;
         this.dialer = new Dialer(loop, counters);
         this.counters = counters;
         this.listener = listener;
-        this.pushed = !site.settings.subscribe();
-        this.informed = loop.newPromise();
-        this.rev = config.known().rev();
+        this.isAutomatic = !site.settings.subscribe();
+        this.ready = loop.newPromise();
+        this.revision = config.initialCatalog().revision();
     }
 
-    /** Where lists are pushed the module never asks, and is told from the first moment. */
+    /** Starts the watch in automatic mode, where the decision module never subscribes. */
     void start() {
-        if (pushed) {
+        if (isAutomatic) {
             subscribe();
-            loop.schedule(() -> informed.trySuccess(null), FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> ready.trySuccess(null), FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } else {
-            informed.trySuccess(null);
+            ready.trySuccess(null);
         }
     }
 
     /**
-     * Done once requests may be served by the list held: at once where lists are asked for, and where they are pushed
-     * with the first list, or when that has been waited for long enough.
+     * Completes once requests may be served with the current list: at the start if the decision module subscribes; in
+     * automatic mode when the first list arrives, or after {@link #FIRST_LIST_TIMEOUT_MS}.
      */
-    Future<Void> informed() {
-        return informed;
+    Future<Void> ready() {
+        return ready;
     }
 
-    /** Begins a watch from the last known version, unless one is on. */
+    /** Starts a watch from the last known revision unless one is running. */
     void subscribe() {
         if (state == State.RESTING) {
-            callIn(0);
+            scheduleCall(0);
         }
     }
 
-    /** Goes on at another address from the version held, and at once: the old one tells nothing new. */
-    void moveTo(InetSocketAddress replaced) {
-        if (replaced.equals(address)) {
+    /**
+     * Continues the watch from the last known revision at another address, without delay, as the old address sends no
+     * further updates.
+     */
+    void changeAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = replaced;
-        Counters.log("discovery is at " + replaced + " now");
-        hurry();
+        address = newAddress;
+        Counters.log("discovery address changed to " + newAddress + ", calling it now");
+        startFastRetry();
         if (call != null) {
-            call.abandon();
+            call.terminate();
         }
-        callIn(0);
+        scheduleCall(0);
     }
 
-    /** What the list rests on, for the log. */
+    /** The state of the watch, for the periodic log line. */
     String gauges() {
-        return "discovery " + state + " calls " + calls + " version " + rev + " heard "
-                + (heardAt == 0 ? "never" : (Clock.now() - heardAt) / Clock.MILLISECOND + " ms ago");
+        return "discovery " + state + " calls " + callCount + " version " + revision + " heard "
+                + (lastListAt == 0 ? "never" : (Clock.now() - lastListAt) / Clock.MILLISECOND + " ms ago");
     }
 
-    private void hurry() {
-        hurryUntil = Clock.now() + HURRY;
+    private void startFastRetry() {
+        fastRetryEndsAt = Clock.now() + FAST_RETRY_PERIOD_NS;
     }
 
-    private boolean hurried() {
-        return Clock.now() < hurryUntil;
+    private boolean isFastRetry() {
+        return Clock.now() < fastRetryEndsAt;
     }
 
-    private void callIn(long ms) {
+    private void scheduleCall(long delayMs) {
         state = State.WAITING;
-        if (next != null) {
-            next.cancel(false);
+        if (scheduledCall != null) {
+            scheduledCall.cancel(false);
         }
-        next = loop.schedule(this::callNow, ms, TimeUnit.MILLISECONDS);
+        scheduledCall = loop.schedule(this::startCall, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void callNow() {
+    private void startCall() {
         state = State.CALLING;
-        calls++;
-        call = new Call(calls);
+        callCount++;
+        call = new Call(callCount);
         call.start();
     }
 
-    /** One call, on a connection of its own: what a kept one had in flight when it broke is in doubt. */
+    /**
+     * One long poll, on a connection of its own: when a persistent connection breaks, it is unknown what became of the
+     * call in flight.
+     */
     private final class Call extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final long id;
-        private final long begun = Clock.now();
-        private final boolean hurried = hurried();
-        private final long waitMs = !informed.isDone() ? FIRST_WAIT_MS : hurried ? HURRIED_WAIT_MS : WAIT_MS;
-        private Future<?> silence;
+        private final long startedAt = Clock.now();
+        private final boolean isFastRetry = isFastRetry();
+        private final long pollTimeoutMs = !ready.isDone() ? FIRST_POLL_TIMEOUT_MS
+                : isFastRetry ? FAST_POLL_TIMEOUT_MS : POLL_TIMEOUT_MS;
+        private Future<?> responseTimeout;
         private Channel channel;
-        private boolean over;
+        private boolean hasEnded;
 
         Call(long id) {
             this.id = id;
         }
 
         void start() {
-            // Before the connection: a refused one may fail within this very call.
-            silence = loop.schedule(this::fallSilent, waitMs + silenceMs(), TimeUnit.MILLISECONDS);
+            // Set before dialing: a refused connection may fail synchronously, and fail() cancels the timeout.
+            responseTimeout = loop.schedule(this::onResponseTimeout, pollTimeoutMs + responseGraceMs(),
+                    TimeUnit.MILLISECONDS);
             try {
-                ChannelFuture connected = dialer.dial(address, CONNECT_MS, new HttpClientCodec(),
-                        new HttpObjectAggregator(MOST_BYTES), this);
+                ChannelFuture connected = dialer.dial(address, CONNECT_TIMEOUT_MS, new HttpClientCodec(),
+                        new HttpObjectAggregator(MAX_RESPONSE_BYTES), this);
                 channel = connected.channel();
                 connected.addListener(done -> {
                     if (!done.isSuccess()) {
-                        fail("no connection: " + done.cause().getMessage(), Dialer.failedHere(done.cause()));
+                        fail("cannot connect: " + done.cause().getMessage(), Dialer.failedHere(done.cause()));
                     }
                 });
             } catch (NoSocketException e) {
                 counters.noSocket++;
-                fail("no socket: " + e.getMessage(), true);
+                fail("cannot create a socket: " + e.getMessage(), true);
             }
         }
 
-        private long silenceMs() {
-            return hurried ? HURRIED_SILENCE_MS * Math.max(1, Math.min(silences, MOST_SILENCES)) : SILENCE_MS;
+        private long responseGraceMs() {
+            return isFastRetry
+                    ? FAST_RESPONSE_GRACE_MS * Math.max(1, Math.min(consecutiveTimeouts, MAX_RESPONSE_GRACE_FACTOR))
+                    : RESPONSE_GRACE_MS;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    "/catalog/members?since=" + rev + "&timeout_ms=" + waitMs);
+                    "/catalog/members?since=" + revision + "&timeout_ms=" + pollTimeoutMs);
             request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(request);
@@ -213,11 +252,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             ctx.close();
-            if (over) {
+            if (hasEnded) {
                 return;
             }
             if (!response.status().equals(HttpResponseStatus.OK) || response.decoderResult().isFailure()) {
-                fail("status " + response.status().code(), false);
+                fail("HTTP status " + response.status().code(), false);
                 return;
             }
             Catalog catalog;
@@ -227,21 +266,21 @@
                 fail(e.getMessage(), false);
                 return;
             }
-            end();
-            silences = 0;
-            rev = catalog.rev();
-            heardAt = Clock.now();
-            long wait = Math.max(0, LEAST_MS - (Clock.now() - begun) / Clock.MILLISECOND);
-            callIn(wait);
-            listener.onList(catalog.all() ? ListMode.FULL : ListMode.DELTA, catalog.members());
-            if (informed.trySuccess(null)) {
-                Counters.log("first list: version " + rev + ", " + describe());
+            markEnded();
+            consecutiveTimeouts = 0;
+            revision = catalog.revision();
+            lastListAt = Clock.now();
+            long delayMs = Math.max(0, MIN_CALL_INTERVAL_MS - (Clock.now() - startedAt) / Clock.MILLISECOND);
+            scheduleCall(delayMs);
+            listener.onList(catalog.isFull() ? ListMode.FULL : ListMode.DELTA, catalog.members());
+            if (ready.trySuccess(null)) {
+                Counters.log("first list: revision " + revision + ", " + describe());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail("the call broke", false);
+            fail("connection closed before the response was complete", false);
         }
 
         @Override
@@ -249,44 +288,47 @@
             fail(cause.toString(), false);
         }
 
-        private void end() {
-            over = true;
-            silence.cancel(false);
+        private void markEnded() {
+            hasEnded = true;
+            responseTimeout.cancel(false);
         }
 
-        /** Ends without a word to anyone; false if it was over already. */
-        boolean abandon() {
-            if (over) {
+        /** Ends the call without notifying anyone; returns false if it had already ended. */
+        boolean terminate() {
+            if (hasEnded) {
                 return false;
             }
-            end();
+            markEnded();
             if (channel != null) {
                 channel.close();
             }
             return true;
         }
 
-        /** A silent watch looks like one with no news: it is opened anew, and the module's list stands. */
-        private void fallSilent() {
-            if (abandon()) {
-                Counters.log("discovery fell silent: " + describe());
-                silences++;
-                hurry();
-                callIn(0);
+        /**
+         * Calls again at once. The decision module is not told and keeps its list: an unresponsive watch looks to it
+         * like one without changes.
+         */
+        private void onResponseTimeout() {
+            if (terminate()) {
+                Counters.log("discovery call timed out: " + describe());
+                consecutiveTimeouts++;
+                startFastRetry();
+                scheduleCall(0);
             }
         }
 
-        /** {@code here}: discovery had no part in it, so that calling again soon is no load on it. */
-        private void fail(String why, boolean here) {
-            if (!abandon()) {
+        /** {@code isLocalFailure}: the call did not reach discovery, so that retrying it soon puts no load on it. */
+        private void fail(String reason, boolean isLocalFailure) {
+            if (!terminate()) {
                 return;
             }
-            counters.discoveryFailure("discovery failed: " + why + ", " + describe());
-            if (here) {
-                hurry();
-                callIn(LOCAL_RETRY_MS);
-            } else if (pushed || hurried()) {
-                callIn(RETRY_MS);
+            counters.discoveryFailure("discovery failed: " + reason + ", " + describe());
+            if (isLocalFailure) {
+                startFastRetry();
+                scheduleCall(LOCAL_FAILURE_RETRY_DELAY_MS);
+            } else if (isAutomatic || isFastRetry()) {
+                scheduleCall(RETRY_DELAY_MS);
             } else {
                 state = State.RESTING;
                 listener.onList(ListMode.FAILED, List.of());
@@ -294,7 +336,8 @@
         }
 
         private String describe() {
-            return "call " + id + " after " + (Clock.now() - begun) / Clock.MILLISECOND + " ms, version " + rev;
+            return "call " + id + " after " + (Clock.now() - startedAt) / Clock.MILLISECOND + " ms, revision "
+                    + revision;
         }
     }
 }
--- a/src/main/java/eiderscale/net/HostPool.java
+++ b/src/main/java/eiderscale/net/HostPool.java
@@ -52,7 +52,7 @@
         final Deque<Link> idle = new ArrayDeque<>();
     }
 
-    private final Site site;
+    private final SiteSettings site;
     private final Counters counters;
     private final int mostLinks;
     /**
@@ -69,15 +69,15 @@
     private final Set<Link> idle = new LinkedHashSet<>();
     private int links;
 
-    HostPool(Site site, EventLoop loop, Counters counters, int mostLinks, Listener listener) {
+    HostPool(SiteSettings site, EventLoop loop, Counters counters, int mostLinks, Listener listener) {
         this.site = site;
         this.counters = counters;
         this.mostLinks = mostLinks;
-        this.mostIdle = Math.max((long) (site.idleTime * IDLE_PART), site.idleTime - site.connectTimeout);
+        this.mostIdle = Math.max((long) (site.idleTimeoutNs * IDLE_PART), site.idleTimeoutNs - site.connectTimeoutNs);
         this.listener = listener;
         this.dialer = new Dialer(loop, counters);
         this.connectTimeoutMs =
-                (int) Math.min(Integer.MAX_VALUE, Math.max(1, site.connectTimeout / Clock.MILLISECOND));
+                (int) Math.min(Integer.MAX_VALUE, Math.max(1, site.connectTimeoutNs / Clock.MILLISECOND));
     }
 
     /** Applies a list before the module sees it, so that every host it may name is known here. */
--- a/src/main/java/eiderscale/net/Json.java
+++ b/src/main/java/eiderscale/net/Json.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed looks into parsed JSON; what is missing or of another type is said in one line. */
+/** Typed access to parsed JSON; a missing or mistyped value is a {@link ConfigException} with a one-line message. */
 final class Json {
     private Json() {
     }
@@ -17,32 +17,34 @@
             if (object != null) {
                 return object;
             }
-            throw new ConfigException("no JSON object: null");
+            throw new ConfigException("not a JSON object: null");
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
-            throw new ConfigException("no JSON object: " + reason.lines().findFirst().orElse(""));
+            throw new ConfigException("not a JSON object: " + reason.lines().findFirst().orElse(""));
         }
     }
 
     static <T> T get(Map<?, ?> object, String name, Class<T> type) {
         Object value = object.get(name);
         if (!type.isInstance(value)) {
-            throw new ConfigException("'" + name + "' is missing or no " + type.getSimpleName());
+            throw new ConfigException("'" + name + "' is missing or not of type " + type.getSimpleName());
         }
         return type.cast(value);
     }
 
-    static <T> T get(Map<?, ?> object, String name, Class<T> type, T otherwise) {
-        return object.get(name) == null ? otherwise : get(object, name, type);
+    /** Returns the default if the value is missing or null. */
+    static <T> T get(Map<?, ?> object, String name, Class<T> type, T defaultValue) {
+        return object.get(name) == null ? defaultValue : get(object, name, type);
     }
 
     static Map<?, ?> object(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new ConfigException("a list holds something else than objects");
+        throw new ConfigException("a list has an element that is not an object");
     }
 
+    /** Returns the named list, empty if it is missing. */
     static List<?> list(Map<?, ?> object, String name) {
         return get(object, name, List.class, List.of());
     }
--- a/src/main/java/eiderscale/net/Main.java
+++ b/src/main/java/eiderscale/net/Main.java
@@ -7,13 +7,16 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 
-/** The real balancer as a program: reads its configuration, may rehearse, serves until SIGTERM, and ends with 0. */
+/**
+ * The balancer program: reads its configuration, warms up where that pays off, and serves until SIGTERM. SIGHUP reloads
+ * the configuration. Exits with 0 after SIGTERM and with 1 if it cannot start.
+ */
 public final class Main {
-    /** For calls that fail for a moment while the program starts, in nanoseconds for each step. */
-    private static final long START_PATIENCE = 3 * Clock.SECOND;
+    /** How long each startup step is retried, as its calls may fail temporarily. */
+    private static final long START_RETRY_TIMEOUT_NS = 3 * Clock.SECOND;
 
-    /** One whose calls fail may hang; a start has to be over within ten seconds. */
-    private static final long LONGEST_REHEARSAL_MS = 5_000;
+    /** A warm-up whose I/O calls fail may hang; the start must be complete within 10 s. */
+    private static final long MAX_WARM_UP_WAIT_MS = 5_000;
 
     private Main() {
     }
@@ -22,22 +25,22 @@
     public static void main(String[] args) {
         try {
             String file = System.getenv("GW_CONFIG");
-            Config config = patiently(() -> Config.read(file));
-            preload();
-            if (Rehearsal.worthwhile(config)) {
-                rehearse();
+            Config config = retryUntilDeadline(() -> Config.read(file));
+            preloadClasses();
+            if (WarmUp.isNeeded(config)) {
+                warmUp();
             }
-            EventLoop loop = patiently(
+            EventLoop loop = retryUntilDeadline(
                     () -> new NioEventLoopGroup(1, new DefaultThreadFactory("loop")).next());
             Node node = loop.submit(() -> new Node(config, loop, Router::new)).get();
             ConfigReloader reloader = new ConfigReloader(() -> Config.read(file),
-                    replaced -> loop.execute(() -> node.reload(replaced)));
-            // A JVM that SIGTERM ends exits with 143; halting at the end of its hook makes that 0.
-            Hangup.hear(reloader::reload);
+                    newConfig -> loop.execute(() -> node.reload(newConfig)));
+            SighupHandler.install(reloader::reload);
+            // A JVM ended by SIGTERM exits with 143; halting at the end of the shutdown hook makes that 0.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, loop), "stop"));
-            node.informed().await();
-            patiently(() -> loop.submit(node::start).get().sync());
-            Counters.log(config.name() + " serves on " + config.listen() + " with " + config.limits());
+            node.ready().await();
+            retryUntilDeadline(() -> loop.submit(node::startListening).get().sync());
+            Counters.log(config.name() + " serves on " + config.listenAddress() + " with " + config.describeLimits());
         } catch (ConfigException e) {
             Counters.log(e.getMessage());
             Runtime.getRuntime().halt(1);
@@ -47,39 +50,39 @@
         }
     }
 
-    private static <T> T patiently(Callable<T> step) throws Exception {
-        return new Patience(START_PATIENCE).until(step);
+    private static <T> T retryUntilDeadline(Callable<T> step) throws Exception {
+        return new RetryUntilDeadline(START_RETRY_TIMEOUT_NS).execute(step);
     }
 
-    /** A program without it serves all the same, while files can be read. */
-    private static void preload() {
+    /** A failure is only logged: the program still serves as long as class files can be read. */
+    private static void preloadClasses() {
         try {
-            patiently(() -> {
+            retryUntilDeadline(() -> {
                 ClassPreloader.load();
                 return null;
             });
         } catch (Exception e) {
-            Counters.log("classes are loaded when they are needed: " + e);
+            Counters.log("class preloading failed, loading classes on first use: " + e);
         }
     }
 
-    /** A program that cannot rehearse serves all the same, if slowly at first. */
-    private static void rehearse() throws InterruptedException {
-        Thread rehearsal = new Thread(() -> {
-            long begun = Clock.now();
+    /** A failure is only logged: without warm-up the program serves too, only slowly at first. */
+    private static void warmUp() throws InterruptedException {
+        Thread thread = new Thread(() -> {
+            long startedAt = Clock.now();
             try {
-                int wrong = Rehearsal.play();
-                long tookMs = (Clock.now() - begun) / Clock.MILLISECOND;
-                Counters.log("rehearsed in " + tookMs + " ms, wrong answers: " + wrong);
+                int wrongAnswers = WarmUp.execute();
+                long tookMs = (Clock.now() - startedAt) / Clock.MILLISECOND;
+                Counters.log("warm-up took " + tookMs + " ms, wrong answers: " + wrongAnswers);
             } catch (Exception e) {
-                Counters.log("rehearsal failed", e);
+                Counters.log("warm-up failed", e);
             }
-        }, "rehearsal");
-        rehearsal.setDaemon(true);
-        rehearsal.start();
-        rehearsal.join(LONGEST_REHEARSAL_MS);
-        if (rehearsal.isAlive()) {
-            Counters.log("the rehearsal is not waited for any longer");
+        }, "warm-up");
+        thread.setDaemon(true);
+        thread.start();
+        thread.join(MAX_WARM_UP_WAIT_MS);
+        if (thread.isAlive()) {
+            Counters.log("warm-up did not finish in time, starting without it");
         }
     }
 
@@ -88,13 +91,13 @@
         try {
             loop.execute(() -> node.stop().addListener(done -> stopped.countDown()));
         } catch (Throwable e) {
-            // The loop has the task all the same; ending now would lose what is open.
-            Counters.log("the event loop was not woken for the stop: " + e);
+            // The task has been queued nevertheless; exiting now would lose the open requests.
+            Counters.log("cannot wake up the event loop for the stop: " + e);
         }
         try {
             stopped.await();
         } catch (InterruptedException e) {
-            Counters.log("stopped short: " + e);
+            Counters.log("interrupted while waiting for the stop: " + e);
         }
         Runtime.getRuntime().halt(0);
     }
--- a/src/main/java/eiderscale/net/Node.java
+++ b/src/main/java/eiderscale/net/Node.java
@@ -8,66 +8,71 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One balancer, put together: everything it has lives on one event loop. */
+/** One balancer instance: creates its parts, runs periodic work and stops them. Everything runs on one event loop. */
 final class Node {
-    /** After a stop is asked for, clients go on coming for a while; they are served. */
-    private static final long ACCEPT_ON_MS = 600;
-    /** The longest deadline that a stop waits for: the program is killed soon after that. */
-    private static final long LONGEST = 3 * Clock.SECOND;
-    /** For the last answers to leave, once what is still open has been settled. */
-    private static final long LAST_WAY = 70 * Clock.MILLISECOND;
-    private static final long LOOK_MS = 10;
-    private static final long SWEEP_MS = 1_000;
-    private static final int SWEEPS_PER_PRINT = 10;
-    /** Descriptors kept for the JVM itself, discovery and the listening socket. */
-    private static final int RESERVE = 96;
-    private static final double CLIENT_PART = 0.45;
-    private static final int SURPLUS = 16;
+    /** How long new connections are still accepted and served after a stop is requested, as clients keep connecting. */
+    private static final long ACCEPT_GRACE_PERIOD_MS = 600;
+    /** Longest time that a stop waits for open requests to reach their deadlines: the process is killed soon after. */
+    private static final long MAX_DRAIN_NS = 3 * Clock.SECOND;
+    /** Time for the last answers to be sent after the drain deadline. */
+    private static final long FINAL_FLUSH_TIMEOUT_NS = 70 * Clock.MILLISECOND;
+    private static final long STOP_CHECK_INTERVAL_MS = 10;
+    private static final long SWEEP_INTERVAL_MS = 1_000;
+    private static final int SWEEPS_PER_LOG_LINE = 10;
+    /** File descriptors reserved for the JVM, discovery and the listening socket; at most a quarter of all. */
+    private static final int RESERVED_DESCRIPTORS = 96;
+    /** Fraction of the remaining sockets that is for clients; the rest is for connections to cache hosts. */
+    private static final double CLIENT_SOCKET_FRACTION = 0.45;
+    /** Client connections beyond that fraction, which are accepted only to be refused. */
+    private static final int MAX_SURPLUS_CLIENTS = 16;
 
     private final Config config;
     private final EventLoop loop;
     private final Counters counters = new Counters();
     private final Balancer balancer;
     private final ClientServer server;
-    private Future<?> sweeping;
-    private int sweeps;
+    private Future<?> sweepTask;
+    private int sweepCount;
 
-    /** To be called on the loop, as all of this class. */
+    /** Must be called on the event loop, like all methods of this class. */
     Node(Config config, EventLoop loop, Balancer.Module module) {
         this.config = config;
         this.loop = loop;
-        int room = config.sockets() - Math.min(RESERVE, config.sockets() / 4);
-        int clients = Math.max(1, (int) (room * CLIENT_PART));
-        balancer = new Balancer(config, loop, counters, module, Math.max(1, room - clients - SURPLUS));
-        server = new ClientServer(balancer, loop, counters, clients, SURPLUS);
+        int availableSockets = config.maxSockets() - Math.min(RESERVED_DESCRIPTORS, config.maxSockets() / 4);
+        int maxClients = Math.max(1, (int) (availableSockets * CLIENT_SOCKET_FRACTION));
+        balancer = new Balancer(config, loop, counters, module,
+                Math.max(1, availableSockets - maxClients - MAX_SURPLUS_CLIENTS));
+        server = new ClientServer(balancer, loop, counters, maxClients, MAX_SURPLUS_CLIENTS);
     }
 
-    /** Done once requests may be served by the list of hosts held; before that a program should not listen. */
-    Future<Void> informed() {
+    /** Completes once requests may be served with the current list of hosts; the program should not listen earlier. */
+    Future<Void> ready() {
         return balancer.informed();
     }
 
-    /** Begins to listen: from then on it is ready to serve. May be called again after it failed. */
-    ChannelFuture start() {
-        if (sweeping == null) {
-            sweeping = loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    /** Starts listening for clients. May be called again if it failed. */
+    ChannelFuture startListening() {
+        if (sweepTask == null) {
+            sweepTask = loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         }
-        return server.listen(config.listen());
+        return server.listen(config.listenAddress());
     }
 
+    /** Periodic work: closes idle connections, and logs the counters regularly and after trouble. */
     private void sweep() {
         try {
             balancer.sweep();
-            if (counters.troubled() | ++sweeps % SWEEPS_PER_PRINT == 0) {
-                print();
+            if (counters.troubled() | ++sweepCount % SWEEPS_PER_LOG_LINE == 0) {
+                logCounters();
             }
         } catch (RuntimeException e) {
-            // Thrown on, it would end all further sweeps.
+            // An exception that left this method would cancel all further sweeps.
             Counters.log("unexpected exception", e);
         }
     }
 
-    private void print() {
+    private void logCounters() {
         counters.print(gauges());
     }
 
@@ -75,47 +80,53 @@
         return server.gauges() + " " + balancer.gauges();
     }
 
-    /** A list of hosts from elsewhere than discovery. */
+    /** Applies a list of hosts that does not come from discovery. */
     void onList(Api.ListMode mode, List<Catalog.Member> members) {
         balancer.onList(mode, members);
     }
 
-    /** The configuration was replaced; of it, only where discovery is may change under a running program. */
-    void reload(Config replaced) {
-        balancer.discoveryAt(replaced.discovery());
+    /** Applies a new configuration. Only discovery's address takes effect; the rest cannot change at run time. */
+    void reload(Config newConfig) {
+        balancer.discoveryAt(newConfig.discoveryAddress());
     }
 
-    /** Stops in order; the future is done when every request has been answered and every client is gone. */
+    /**
+     * Graceful shutdown: stops accepting connections after {@link #ACCEPT_GRACE_PERIOD_MS}, then waits for the open
+     * requests. The future completes when every request has been answered and every client has disconnected, or
+     * {@link #FINAL_FLUSH_TIMEOUT_NS} after the drain deadline.
+     */
     Future<Void> stop() {
         Promise<Void> done = loop.newPromise();
-        long longest = config.site().settings.classes().stream().mapToLong(Api.RequestClass::deadline).max()
+        long longestDeadlineNs = config.site().settings.classes().stream().mapToLong(Api.RequestClass::deadline).max()
                 .orElse(0);
-        long settleAt = Clock.now() + ACCEPT_ON_MS * Clock.MILLISECOND + Math.min(longest, LONGEST);
+        long drainDeadline = Clock.now() + ACCEPT_GRACE_PERIOD_MS * Clock.MILLISECOND
+                + Math.min(longestDeadlineNs, MAX_DRAIN_NS);
         loop.schedule(() -> {
             try {
                 server.close();
             } finally {
-                await(done, settleAt);
+                awaitDrained(done, drainDeadline);
             }
-        }, ACCEPT_ON_MS, TimeUnit.MILLISECONDS);
+        }, ACCEPT_GRACE_PERIOD_MS, TimeUnit.MILLISECONDS);
         return done;
     }
 
-    private void await(Promise<Void> done, long settleAt) {
+    /** Checks whether the stop is complete, else checks again later; past the deadline, answers open requests first. */
+    private void awaitDrained(Promise<Void> done, long drainDeadline) {
         long now = Clock.now();
-        if (now >= settleAt) {
-            settleAll();
+        if (now >= drainDeadline) {
+            answerOpenRequests();
         }
-        // Past that only a client that does not read can still be there.
-        if (server.isTerminated() && balancer.open() == 0 || now >= settleAt + LAST_WAY) {
-            print();
+        // After the flush timeout only clients that do not read their answers can be left.
+        if (server.isTerminated() && balancer.open() == 0 || now >= drainDeadline + FINAL_FLUSH_TIMEOUT_NS) {
+            logCounters();
             done.setSuccess(null);
         } else {
-            loop.schedule(() -> await(done, settleAt), LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> awaitDrained(done, drainDeadline), STOP_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void settleAll() {
+    private void answerOpenRequests() {
         try {
             balancer.settleAll();
         } catch (RuntimeException e) {
--- a/src/test/java/eiderscale/net/BadInputTest.java
+++ b/src/test/java/eiderscale/net/BadInputTest.java
@@ -119,7 +119,7 @@
         }
         Config config = Config.parse(Json.parse(good.getBytes(StandardCharsets.UTF_8)));
         assertEquals(3, config.site().settings.classes().size());
-        assertEquals(7, config.known().rev());
+        assertEquals(7, config.initialCatalog().revision());
         assertEquals(1_000_000_000L, config.site().settings.drainGrace());
         bad("");
         bad("[]");
--- a/src/test/java/eiderscale/net/DiscoveryTest.java
+++ b/src/test/java/eiderscale/net/DiscoveryTest.java
@@ -242,7 +242,7 @@
     /** Rendezvous hashing needs one id for a host at all balancers, whose addresses for it differ. */
     @Test
     void aHostsIdComesFromItsUidAlone() throws Exception {
-        Site site;
+        SiteSettings site;
         try (Rig rig = new Rig()) {
             site = rig.site();
         }
@@ -255,7 +255,7 @@
         assertEquals(Api.State.GONE, other.members().get(0).server().state());
     }
 
-    private static Catalog parse(String target, Site site) {
+    private static Catalog parse(String target, SiteSettings site) {
         String text = "{\"rev\":1,\"all\":true,\"targets\":[" + target + "]}";
         return Catalog.parse(Json.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8)), site);
     }
--- a/src/test/java/eiderscale/net/RehearsalTest.java
+++ b/src/test/java/eiderscale/net/RehearsalTest.java
@@ -8,6 +8,6 @@
 class RehearsalTest {
     @Test
     void everyCommandOfTheRehearsalIsAnswered() throws Exception {
-        assertEquals(0, Rehearsal.play());
+        assertEquals(0, WarmUp.execute());
     }
 }
--- a/src/test/java/eiderscale/net/Rig.java
+++ b/src/test/java/eiderscale/net/Rig.java
@@ -83,8 +83,8 @@
                 + "]},\"settings\":" + settings() + "}";
     }
 
-    Site site() {
-        return new Site(Json.parse(settings().getBytes(StandardCharsets.UTF_8)));
+    SiteSettings site() {
+        return new SiteSettings(Json.parse(settings().getBytes(StandardCharsets.UTF_8)));
     }
 
     Rig start() throws Exception {
@@ -92,7 +92,7 @@
         loop = group.next();
         Config config = Config.parse(Json.parse(config("127.0.0.1:0").getBytes(StandardCharsets.UTF_8)));
         node = loop.submit(() -> new Node(config, loop, module)).get();
-        address = (InetSocketAddress) loop.submit(node::start).get().sync().channel().localAddress();
+        address = (InetSocketAddress) loop.submit(node::startListening).get().sync().channel().localAddress();
         return this;
     }
 
--- a/src/test/java/eiderscale/net/SignalsTest.java
+++ b/src/test/java/eiderscale/net/SignalsTest.java
@@ -49,7 +49,7 @@
     @Test
     void aStopBetweenTheWarmUpAndListeningEndsIt() throws Exception {
         process.start();
-        process.awaitLine("rehearsed in");
+        process.awaitLine("warm-up took");
         process.signal("TERM");
         int code = process.exit();
         assertTrue(code == 0 || code == TERMINATED, "ended with " + code);
@@ -79,7 +79,7 @@
         release.countDown();
         Files.writeString(process.configFile(), "{");
         process.signal("HUP");
-        process.awaitLine("the configuration stays as it was");
+        process.awaitLine("keeping the current configuration");
         try (Peer client = process.client()) {
             assertEquals("HD O2 c77", client.ask(Rig.COPY));
         }
--- a/src/test/java/eiderscale/net/SoakRun.java
+++ b/src/test/java/eiderscale/net/SoakRun.java
@@ -29,7 +29,7 @@
     private static final int DEADLINE_MS = 2_000;
     /** What a log tells of failures that were played. */
     private static final List<String> EXPECTED_FAILURES = List.of("discovery failed", "cannot accept",
-            "the configuration stays as it was", "connection broke", "a read failed", "a write failed", "Socket creation failed");
+            "keeping the current configuration", "connection broke", "a read failed", "a write failed", "Socket creation failed");
 
     private final int seed;
     private final SplittableRandom random;
--- a/src/test/java/eiderscale/net/StopTest.java
+++ b/src/test/java/eiderscale/net/StopTest.java
@@ -79,7 +79,7 @@
 
     /** Whether it rehearsed, and well. */
     private static boolean rehearsed(BalancerProcess process) {
-        return process.log().stream().anyMatch(line -> line.contains("rehearsed in") && line.endsWith("wrong answers: 0"));
+        return process.log().stream().anyMatch(line -> line.contains("warm-up took") && line.endsWith("wrong answers: 0"));
     }
 
     @Test
--- a/src/test/java/eiderscale/net/SystemCallFaultsTest.java
+++ b/src/test/java/eiderscale/net/SystemCallFaultsTest.java
@@ -246,7 +246,7 @@
             String whole = process.config();
             Files.writeString(process.configFile(), whole.substring(0, whole.length() / 2));
             process.signal("HUP");
-            process.awaitLine("the configuration stays as it was");
+            process.awaitLine("keeping the current configuration");
             Files.writeString(process.configFile(), whole);
             Waiting.until(() -> moved.calls() > 0, "a call at the new address");
         }
@@ -361,7 +361,7 @@
         try (DiscoveryServer moved = new DiscoveryServer()) {
             rig.discovery = moved.endpoint();
             process.reload();
-            process.awaitLine("stays as it was");
+            process.awaitLine("keeping the current configuration");
             faults.heal(Call.ANY_FILE_READ);
             Waiting.until(() -> moved.calls() > 0, "a call at the new address");
         }
