--- a/src/main/java/eiderscale/Candidates.java
+++ b/src/main/java/eiderscale/Candidates.java
@@ -2,136 +2,175 @@
 
 import eiderscale.HostHealth.Host;
 
-/** Weighted rendezvous hashing: the few hosts that a key lives on. */
+/**
+ * Selects the caches for a key by weighted rendezvous hashing (highest random weight). A key normally has two
+ * candidate hosts; a hot key, detected by its share of this balancer's traffic, has more.
+ *
+ * <p>The ranking is kept in this object and is valid until the next call of {@link #rankHosts}. Times are in
+ * nanoseconds. Not thread-safe.
+ */
 final class Candidates {
-    /** Candidates of a key on the ordinary path. */
-    private static final int ORDINARY = 2;
-    /** Most candidates of a hot key, and further hosts kept for when all candidates are spent. */
-    private static final int MOST = 32;
-    private static final int SPARE = 2;
-    /** Hosts of capacity given to a hot key, for each host's worth of traffic that it draws. */
-    private static final double ROOM = 3;
-    private static final double SLOWER = 2;
-    /** Requests in flight that a host counts as having while it is suspect. */
-    private static final int SUSPICION = 2;
-    private static final int SLOTS = 256;
-    /** Requests, or time, after which all counts are halved, and the least that tell a share. */
-    private static final int WINDOW = 256;
-    private static final long WINDOW_NS = 5_000_000_000L;
-    private static final int LEAST = 16;
-    private static final double UNIT = 1.0 / (1L << 53);
+    /** Candidates of a key that is not hot. */
+    private static final int DEFAULT_CANDIDATES = 2;
+    private static final int MAX_CANDIDATES = 32;
+    /** Hosts ranked after the candidates, for retries when all candidates have been tried. */
+    private static final int FALLBACK_HOSTS = 2;
+    /** Candidates of a hot key for each host's worth of traffic that it draws. */
+    private static final double HOT_KEY_CAPACITY_FACTOR = 3;
+    /** A host counts as slower than another if its latency is more than this many times the other's. */
+    private static final double SLOWER_LATENCY_RATIO = 2;
+    /** Added to the in-flight count of a failure outlier when hosts are compared. */
+    private static final int OUTLIER_IN_FLIGHT_PENALTY = 2;
+    /** Size of the hot-key counter table, a power of two. */
+    private static final int COUNTER_SLOTS = 256;
+    /** All counters are halved after this many counted requests, or after {@link #HALVING_INTERVAL_NS}. */
+    private static final int HALVING_REQUESTS = 256;
+    private static final long HALVING_INTERVAL_NS = 5_000_000_000L;
+    /** Fewest counted requests from which a key's share of the traffic is estimated. */
+    private static final int MIN_COUNTED_REQUESTS = 16;
+    /** 2^-53, scales an integer of 53 bits to [0, 1). */
+    private static final double UNIT_SCALE = 1.0 / (1L << 53);
 
-    final Host[] top = new Host[MOST + SPARE];
+    /**
+     * Eligible hosts for the key last ranked, best first: the candidates, then the fallback hosts. Only the
+     * first {@link #count} elements are valid.
+     */
+    final Host[] rankedHosts = new Host[MAX_CANDIDATES + FALLBACK_HOSTS];
+    /** Number of hosts in {@link #rankedHosts}; less than {@link #candidateCount} if too few are eligible. */
     int count;
-    /** How many of {@link #top} are candidates; the rest are spare. */
-    int width;
-    private final double[] distance = new double[MOST + SPARE];
-    private final long[] keys = new long[SLOTS];
-    private final int[] counts = new int[SLOTS];
-    private int counted;
-    private long halved;
+    /** How many of {@link #rankedHosts}, from the first on, are candidates; the rest are fallback hosts. */
+    int candidateCount;
+    /** Rendezvous distances of {@link #rankedHosts}. */
+    private final double[] rankedDistances = new double[MAX_CANDIDATES + FALLBACK_HOSTS];
+    private final long[] counterKeys = new long[COUNTER_SLOTS];
+    private final int[] counterValues = new int[COUNTER_SLOTS];
+    private int countedRequests;
+    private long halvedAt;
     private final HostHealth health;
 
     Candidates(HostHealth health) {
         this.health = health;
     }
 
-    /** Fills {@link #top} with the usable hosts of least -ln(1 - hash) / weight, near ones made heavier. */
-    void find(long now, long key, double nearness) {
-        width = width(key);
-        int depth = width + SPARE;
+    /**
+     * Ranks the eligible caches for a key by their rendezvous distance, -ln(1 - hash) / weight with the hash
+     * in [0, 1), least first.
+     *
+     * @param ownZoneFactor multiplies the weight of hosts in our own zone, at least 1
+     */
+    void rankHosts(long now, long key, double ownZoneFactor) {
+        candidateCount = candidateCount(key);
+        int limit = candidateCount + FALLBACK_HOSTS;
         count = 0;
         double worst = Double.MAX_VALUE;
         Host[] hosts = health.caches;
         for (int i = 0; i < health.cacheCount; i++) {
             Host host = hosts[i];
-            long hash = mix(key ^ host.salt);
-            double x = unit(hash);
-            double inverse = host.inOwnZone ? host.inverseWeight / nearness : host.inverseWeight;
-            // x <= -ln(1 - x): most hosts fall out here, without a logarithm.
-            if (x * inverse >= worst) {
+            long hash = mix64(key ^ host.hashSalt);
+            double unitHash = toUnitInterval(hash);
+            double inverseWeight = host.inOwnZone ? host.inverseWeight / ownZoneFactor : host.inverseWeight;
+            // Since x <= -ln(1 - x), this lower bound of the distance rejects most hosts without a logarithm.
+            if (unitHash * inverseWeight >= worst) {
                 continue;
             }
-            double d = -Math.log1p(-x) * inverse;
-            if (d >= worst || !health.admits(now, host, hash)) {
+            double distance = -Math.log1p(-unitHash) * inverseWeight;
+            if (distance >= worst || !health.isEligible(now, host, hash)) {
                 continue;
             }
-            int at = count < depth ? count++ : depth - 1;
-            while (at > 0 && distance[at - 1] > d) {
-                distance[at] = distance[at - 1];
-                top[at] = top[at - 1];
-                at--;
+            int position = count < limit ? count++ : limit - 1;
+            while (position > 0 && rankedDistances[position - 1] > distance) {
+                rankedDistances[position] = rankedDistances[position - 1];
+                rankedHosts[position] = rankedHosts[position - 1];
+                position--;
             }
-            distance[at] = d;
-            top[at] = host;
-            if (count == depth) {
-                worst = distance[depth - 1];
+            rankedDistances[position] = distance;
+            rankedHosts[position] = host;
+            if (count == limit) {
+                worst = rankedDistances[limit - 1];
             }
         }
     }
 
-    /** Counts an arrival for the key, in a small table where a rarer key gives way to a commoner one. */
+    /**
+     * Counts a request for hot-key detection. Keys share a small table of counters, one key to a slot: a
+     * request for another key of the slot decrements the counter and takes the slot over once it is used up,
+     * so that the more frequent key holds the slot. Halving all counters from time to time lets old requests
+     * fade.
+     */
     void count(long now, long key) {
-        int slot = slot(key);
-        if (keys[slot] == key) {
-            counts[slot]++;
-        } else if (--counts[slot] < 0) {
-            keys[slot] = key;
-            counts[slot] = 1;
+        int slot = counterSlot(key);
+        if (counterKeys[slot] == key) {
+            counterValues[slot]++;
+        } else if (--counterValues[slot] < 0) {
+            counterKeys[slot] = key;
+            counterValues[slot] = 1;
         }
-        if (++counted >= WINDOW || now - halved > WINDOW_NS && counted > LEAST) {
-            halved = now;
-            counted /= 2;
-            for (int i = 0; i < SLOTS; i++) {
-                counts[i] /= 2;
+        if (++countedRequests >= HALVING_REQUESTS
+                || now - halvedAt > HALVING_INTERVAL_NS && countedRequests > MIN_COUNTED_REQUESTS) {
+            halvedAt = now;
+            countedRequests /= 2;
+            for (int i = 0; i < COUNTER_SLOTS; i++) {
+                counterValues[i] /= 2;
             }
         }
     }
 
-    /** Guards against a hot key swamping two hosts: candidates grow with its share of our traffic. */
-    private int width(long key) {
-        int slot = slot(key);
-        if (keys[slot] != key || counted < LEAST) {
-            return ORDINARY;
+    /**
+     * How many candidates a key has: in proportion to its share of our traffic, so that a hot key does not
+     * overload its two default hosts. Two of its requests are left out of the share, so that a key seen once
+     * or twice does not count as hot.
+     */
+    private int candidateCount(long key) {
+        int slot = counterSlot(key);
+        if (counterKeys[slot] != key || countedRequests < MIN_COUNTED_REQUESTS) {
+            return DEFAULT_CANDIDATES;
         }
-        double share = (counts[slot] - 2.0) / counted;
-        return (int) Math.max(ORDINARY, Math.min(MOST, Math.ceil(share * health.cacheCount * ROOM)));
+        double share = (counterValues[slot] - 2.0) / countedRequests;
+        return (int) Math.max(DEFAULT_CANDIDATES,
+                Math.min(MAX_CANDIDATES, Math.ceil(share * health.cacheCount * HOT_KEY_CAPACITY_FACTOR)));
     }
 
     /**
-     * The candidate with the fewest of our requests in flight; among equals the first if not slow. With
-     * {@code ownZone}, one in our own zone comes first among idle ones: crossing costs time and a price.
+     * Returns the candidate with the fewest of our attempts in flight, or null if no host is eligible. A
+     * failure outlier counts as having {@link #OUTLIER_IN_FLIGHT_PENALTY} more. Among equals the first in the
+     * ranking is selected, unless it is slower than a later one.
+     *
+     * @param preferOwnZone prefer an idle candidate in our own zone to an idle one in another zone, unless it
+     *     is slower: traffic between zones takes time and costs money
      */
-    Host leastInFlight(long now, boolean ownZone) {
-        // With many balancers most counts are 0 and tell nothing: then latency does.
+    Host selectLeastInFlight(long now, boolean preferOwnZone) {
+        // With many balancers most in-flight counts are 0 and do not tell hosts apart; latency does.
         Host best = null;
-        int least = 0;
-        for (int i = 0; i < count && i < width; i++) {
-            int busy = top[i].inFlight + (health.suspect(now, top[i]) ? SUSPICION : 0);
-            boolean nearer = ownZone && busy == 0 && top[i].inOwnZone && best != null && !best.inOwnZone
-                    && top[i].latency <= SLOWER * best.latency;
-            if (best == null || busy < least || busy == least && best.latency > SLOWER * top[i].latency
-                    || busy == least && nearer) {
-                best = top[i];
-                least = busy;
+        int fewest = 0;
+        for (int i = 0; i < count && i < candidateCount; i++) {
+            int inFlight = rankedHosts[i].inFlight
+                    + (health.isFailureOutlier(now, rankedHosts[i]) ? OUTLIER_IN_FLIGHT_PENALTY : 0);
+            boolean isNearer = preferOwnZone && inFlight == 0 && rankedHosts[i].inOwnZone
+                    && best != null && !best.inOwnZone
+                    && rankedHosts[i].latencyNs <= SLOWER_LATENCY_RATIO * best.latencyNs;
+            if (best == null || inFlight < fewest
+                    || inFlight == fewest && best.latencyNs > SLOWER_LATENCY_RATIO * rankedHosts[i].latencyNs
+                    || inFlight == fewest && isNearer) {
+                best = rankedHosts[i];
+                fewest = inFlight;
             }
         }
         return best;
     }
 
-    private static int slot(long key) {
-        return (int) (mix(key) & (SLOTS - 1));
+    private static int counterSlot(long key) {
+        return (int) (mix64(key) & (COUNTER_SLOTS - 1));
     }
 
-    /** A 64-bit finaliser (SplitMix64): spreads every bit of the input over the output. */
-    static long mix(long z) {
+    /** The 64-bit finalizer of SplitMix64: each bit of the input affects every bit of the output. */
+    static long mix64(long z) {
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
         return z ^ (z >>> 31);
     }
 
-    /** The upper bits of a well mixed number as a fraction in [0, 1). */
-    static double unit(long mixed) {
-        return (mixed >>> 11) * UNIT;
+    /** Maps the upper 53 bits of a well mixed number to [0, 1). */
+    static double toUnitInterval(long mixed) {
+        return (mixed >>> 11) * UNIT_SCALE;
     }
 }
--- a/src/main/java/eiderscale/Hedging.java
+++ b/src/main/java/eiderscale/Hedging.java
@@ -2,106 +2,130 @@
 
 import com.tdunning.math.stats.MergingDigest;
 import com.tdunning.math.stats.TDigest;
-import eiderscale.Api.Budget;
-import java.util.*;
+import eiderscale.Api.RetryBudget;
+import java.util.ArrayDeque;
+import java.util.Deque;
 
-/** When a copy of a slow read goes out, a quantile of recent served latencies, and what may be repeated. */
+/**
+ * The delay of hedged requests, a quantile of recent read latencies, and the budget for hedges and retries
+ * within a sliding window. All times are nanoseconds on the clock of the events.
+ */
 final class Hedging {
-    private static final double QUANTILE = 0.95;
-    private static final double COMPRESSION = 50;
-    /** A digest begins anew after so many samples, or so long once it holds the minimum sample. */
-    private static final int AGE_SAMPLES = 512;
-    private static final long AGE_NS = 10_000_000_000L;
-    private static final int MIN_SAMPLES = 32;
-    private static final int REFRESH_SAMPLES = 16;
-    /** The budget of further attempts where none is stated. */
-    private static final Budget OWN_BUDGET = new Budget(10, 0.2, 5_000_000_000L);
+    /** The quantile of recent read latencies after which a read is hedged. */
+    private static final double HEDGE_DELAY_QUANTILE = 0.95;
+    private static final double DIGEST_COMPRESSION = 50;
+    /** A digest is replaced by an empty one at this number of samples. */
+    private static final int MAX_DIGEST_SAMPLES = 512;
+    /** A digest of this age is replaced as well, once it holds {@link #MIN_DIGEST_SAMPLES}. */
+    private static final long MAX_DIGEST_AGE_NS = 10_000_000_000L;
+    /** Fewer samples do not show the tail of the distribution. */
+    private static final int MIN_DIGEST_SAMPLES = 32;
+    /** The quantiles are read from the digest each time so many samples were added. */
+    private static final int REFRESH_INTERVAL_SAMPLES = 16;
+    /** The budget if none is configured. */
+    private static final RetryBudget DEFAULT_BUDGET = new RetryBudget(10, 0.2, 5_000_000_000L);
 
-    /** Part of our own budget that copies may fill. */
-    private static final double COPIES_PART = 0.5;
+    /** The fraction of the default budget up to which hedges are sent; retries made so far count as well. */
+    private static final double HEDGE_BUDGET_FRACTION = 0.5;
 
-    private TDigest digest = new MergingDigest(COMPRESSION);
-    private long begun;
-    private int samples;
-    private long quantile;
-    private long median;
-    /** The sixth rule, with the times of requests taken and of further attempts. */
-    private final Budget budget;
-    private final boolean stated;
-    private final Deque<Long> taken = new ArrayDeque<>();
-    private final Deque<Long> further = new ArrayDeque<>();
+    private TDigest latencyDigest = new MergingDigest(DIGEST_COMPRESSION);
+    private long digestStartedAt;
+    private int digestSamples;
+    /** 0 until the first digest has enough samples. */
+    private long latencyQuantileNs;
+    /** 0 until the first refresh. */
+    private long medianLatencyNs;
+    private final RetryBudget budget;
+    private final boolean isBudgetConfigured;
+    /** When the requests within the budget's window were received. */
+    private final Deque<Long> requestReceived = new ArrayDeque<>();
+    /** When the hedges and charged retries within the window were sent. */
+    private final Deque<Long> furtherAttemptTimes = new ArrayDeque<>();
 
-    Hedging(Budget budget) {
-        this.stated = budget != null;
-        this.budget = stated ? budget : OWN_BUDGET;
+    /**
+     * Starts without samples and with an empty window.
+     *
+     * @param budget the configured budget, or null for the default one
+     */
+    Hedging(RetryBudget budget) {
+        this.isBudgetConfigured = budget != null;
+        this.budget = isBudgetConfigured ? budget : DEFAULT_BUDGET;
     }
 
-    /** A request came, whether refused or not. */
-    void taken(long now) {
-        taken.add(now);
-        expire(taken, now - budget.span());
+    /** Counts a client request towards the budget, whether it is refused or not. */
+    void requestReceived(long now) {
+        requestReceived.add(now);
+        removeExpired(requestReceived, now - budget.windowNs());
     }
 
-    private static void expire(Deque<Long> times, long until) {
-        while (!times.isEmpty() && times.peek() <= until) {
+    private static void removeExpired(Deque<Long> times, long cutoff) {
+        while (!times.isEmpty() && times.peek() <= cutoff) {
             times.poll();
         }
     }
 
     /**
-     * Takes a copy from the budget. Guards against copies that pile up when every cache slows at once; they
-     * leave a part of it to repeats, without which a request is lost.
+     * Charges a hedge to the budget; false if it is not covered and must not be sent. The budget prevents
+     * hedges from piling up when all caches slow down at once. Hedges leave a part of the default budget to
+     * retries, without which a request would be lost.
      */
-    boolean spendOnCopy(long now) {
-        return spend(now, stated ? 1 : COPIES_PART);
+    boolean trySpendOnHedge(long now) {
+        return trySpend(now, isBudgetConfigured ? 1 : HEDGE_BUDGET_FRACTION);
     }
 
     /**
-     * Takes a repeat from the budget, which a free one is spared where it is our own. Guards against retries
-     * that keep a full fleet full.
+     * Charges a retry to the budget; false if it is not covered and must not be sent. The budget prevents
+     * retries from keeping an overloaded fleet overloaded.
+     *
+     * @param isFree whether the default budget is not charged; a configured budget always is
      */
-    boolean spendOnRepeat(long now, boolean free) {
-        return free && !stated || spend(now, 1);
+    boolean trySpendOnRetry(long now, boolean isFree) {
+        return isFree && !isBudgetConfigured || trySpend(now, 1);
     }
 
-    /** Takes a further attempt from that part of the budget, a window that slides. */
-    private boolean spend(long now, double part) {
-        expire(taken, now - budget.span());
-        expire(further, now - budget.span() - 1);
-        boolean may = further.size() + 1 <= part * (budget.free() + budget.share() * taken.size());
-        if (may) {
-            further.add(now);
+    /** Charges a further attempt if, with it, the window holds no more than this fraction of the budget. */
+    private boolean trySpend(long now, double budgetFraction) {
+        removeExpired(requestReceived, now - budget.windowNs());
+        removeExpired(furtherAttemptTimes, now - budget.windowNs() - 1);
+        boolean isAllowed = furtherAttemptTimes.size() + 1
+                <= budgetFraction * (budget.minRetries() + budget.retryRatio() * requestReceived.size());
+        if (isAllowed) {
+            furtherAttemptTimes.add(now);
         }
-        return may;
+        return isAllowed;
     }
 
-    /** A read was answered after {@code latency}, counted from its first send. */
-    void served(long now, long latency) {
-        digest.add(latency);
-        samples++;
-        if (samples % REFRESH_SAMPLES == 0) {
-            median = (long) digest.quantile(0.5);
-            quantile = samples >= MIN_SAMPLES ? (long) digest.quantile(QUANTILE) : quantile;
+    /** Adds the latency of a served read, counted from its first attempt. */
+    void readServed(long now, long latencyNs) {
+        latencyDigest.add(latencyNs);
+        digestSamples++;
+        if (digestSamples % REFRESH_INTERVAL_SAMPLES == 0) {
+            medianLatencyNs = (long) latencyDigest.quantile(0.5);
+            latencyQuantileNs = digestSamples >= MIN_DIGEST_SAMPLES
+                    ? (long) latencyDigest.quantile(HEDGE_DELAY_QUANTILE) : latencyQuantileNs;
         }
-        if (samples >= AGE_SAMPLES || now - begun > AGE_NS && samples >= MIN_SAMPLES) {
-            digest = new MergingDigest(COMPRESSION);
-            begun = now;
-            samples = 0;
+        if (digestSamples >= MAX_DIGEST_SAMPLES
+                || now - digestStartedAt > MAX_DIGEST_AGE_NS && digestSamples >= MIN_DIGEST_SAMPLES) {
+            latencyDigest = new MergingDigest(DIGEST_COMPRESSION);
+            digestStartedAt = now;
+            digestSamples = 0;
         }
     }
 
-    /** The wait before a copy, -1 for none: a handful of samples has no tail. */
-    long delay() {
-        return quantile > 0 ? quantile : -1;
+    /** How long after its first attempt a read is hedged; -1 while there are too few samples for hedging. */
+    long hedgeDelayNs() {
+        return latencyQuantileNs > 0 ? latencyQuantileNs : -1;
     }
 
-    /** The median of recent served latencies, 0 for none. */
-    long median() {
-        return median;
+    /** The median latency of recently served reads; 0 while there are too few samples. */
+    long medianLatencyNs() {
+        return medianLatencyNs;
     }
 
+    /** A description of the present state for the log. */
     String gauges() {
-        return "hedge-after " + quantile / 1_000_000 + " ms median " + median / 1_000_000 + " ms further "
-                + further.size() + " of " + taken.size();
+        return "hedge-after " + latencyQuantileNs / 1_000_000 + " ms median "
+                + medianLatencyNs / 1_000_000 + " ms further "
+                + furtherAttemptTimes.size() + " of " + requestReceived.size();
     }
 }
--- a/src/main/java/eiderscale/HostHealth.java
+++ b/src/main/java/eiderscale/HostHealth.java
@@ -1,110 +1,165 @@
 package eiderscale;
 
-import eiderscale.Api.*;
-import java.util.*;
+import eiderscale.Api.ListMode;
+import eiderscale.Api.Reason;
+import eiderscale.Api.Server;
+import eiderscale.Api.Settings;
+import eiderscale.Api.State;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 
-/** What this balancer knows of each host: the list's word, our requests in flight, breaker, slow start. */
+/**
+ * What this balancer knows of each host: its entry in the server list, our attempts in flight, latency and
+ * failure rate, circuit breaker and slow start. Hosts are caches or, where the balancer itself reads from the
+ * origin on a cache miss (mode "aside"), origins; breakers and slow start apply to caches only.
+ *
+ * <p>All times are in nanoseconds. Not thread-safe.
+ */
 final class HostHealth {
-    /** Evidence, as -ln of its chance among hosts that fail alike, at which a breaker opens. */
-    private static final double OPEN_AT = 14;
-    private static final double LEAST_CHANCE = 0.2;
-    private static final long TRIAL_AFTER_NS = 1_000_000_000L;
-    /** Share of the stated fall limit that is used. */
-    private static final double FALL_MARGIN = 0.5;
-    /** Fall times over which our send rate is averaged, and the part of one that may be sent at once. */
-    private static final double RATE_WINDOWS = 4;
-    private static final double BURST = 0.25;
-    private static final double FAILING_WEIGHT = 0.02;
-    /** Share of attempts without a connection from which on idle ones are given up: dead hosts are fewer. */
-    static final double CROWDED = 0.1;
-    private static final double MOST_CROWD = 8;
-    /** Weight of an answer in its host's latency if they come fast; one met seldom is known by its last. */
-    private static final double LATENCY_WEIGHT = 0.1;
-    private static final double LATENCY_FADE_NS = 5e9;
-    /** A host is suspect while its late failures lie over all hosts' by so much: two in three, about. */
-    private static final double SUSPECT_OVER = 0.3;
-    private static final double SUSPECT_WEIGHT = 0.3;
-    private static final double SUSPECT_FADE_NS = 8e9;
+    /**
+     * Failure score at which a breaker opens. The score is -ln of the probability that a host failing at the
+     * fleet's rate fails all attempts since the breaker was last reset: one in a million at 14.
+     */
+    private static final double BREAKER_OPEN_SCORE = 14;
+    /** Least fleet failure rate used in the failure score. At this rate nine failures open a breaker. */
+    private static final double MIN_FLEET_FAILURE_RATE = 0.2;
+    /** How long a breaker stays open before it admits a probe, give or take a jitter of 20 %. */
+    private static final long BREAKER_OPEN_NS = 1_000_000_000L;
+    /**
+     * Fraction used of a cold host's stated limit, which is tip-multiple times its current capacity within a
+     * window of fall-ns (both are settings), by all balancers together.
+     */
+    private static final double OVERLOAD_LIMIT_FRACTION = 0.5;
+    /** Time constant over which our send rate is averaged, in windows of fall-ns. */
+    private static final double SEND_RATE_WINDOWS = 4;
+    /** Fraction of a window's slow-start tokens that may be spent at once. */
+    private static final double BURST_FRACTION = 0.25;
+    /** Weight of one attempt in the fleet-wide failure rates, which are EWMAs. */
+    private static final double FLEET_EWMA_WEIGHT = 0.02;
+    /** Connect failure rate above which idle connections are closed. Dead hosts alone cause a lower rate. */
+    static final double CLOSE_IDLE_CONNECT_FAILURE_RATE = 0.1;
+    private static final double MAX_BALANCERS_PER_HOST = 8;
+    /**
+     * Weight of an answer in its host's latency when answers are frequent. It grows with the time since the
+     * previous answer, so that a host that is seldom used is judged by its last answer.
+     */
+    private static final double MIN_LATENCY_EWMA_WEIGHT = 0.1;
+    /** Time constant by which that weight grows towards 1. */
+    private static final double LATENCY_DECAY_NS = 5e9;
+    /**
+     * A host is a failure outlier while its failure rate exceeds the fleet's by more than this: about two
+     * failures in its last three attempts.
+     */
+    private static final double OUTLIER_FAILURE_RATE_MARGIN = 0.3;
+    /** Weight of one attempt in its host's failure rate, and the time constant by which that rate decays. */
+    private static final double HOST_FAILURE_EWMA_WEIGHT = 0.3;
+    private static final double HOST_FAILURE_DECAY_NS = 8e9;
 
-    /** One server as this balancer sees it. */
+    /** One server as this balancer sees it. The fields down to {@code state} come from the server list. */
     static final class Host {
         final long id;
-        final long salt;
+        /** Hashed together with a key for rendezvous hashing; the same at every balancer. */
+        final long hashSalt;
         int zone;
+        /** Server kind, by which origins differ from caches. */
         int kind;
         int cell;
         double weight;
         double inverseWeight;
         boolean inOwnZone;
         State state = State.GONE;
+        /** Our attempts in flight at this host. */
         int inFlight;
-        /** Mean time of its answers lately, as of {@code latencyAt}. */
-        double latency;
-        private long latencyAt;
-        /** Share of its late attempts that failed, as of {@code failingAt}; it fades, for a further try. */
-        private double failing;
-        private long failingAt;
-        /** Attempts without a connection since it last answered. */
-        private int unconnected;
-        /** Attempts since the last line of the log: answered, turned away, failed. */
-        private final int[] ends = new int[3];
-        /** Start of the slow start, 0 if warm. */
-        long coldSince;
-        /** Sends that its slow start allows, as of {@code filledAt}. */
-        private double tokens;
-        private long filledAt;
-        /** The circuit breaker: closed while {@code openUntil} is 0; any success closes it. */
-        private double evidence;
-        private long openUntil;
-        private boolean trial;
+        /** EWMA of how long its answers and time-outs took, 0 before the first. */
+        double latencyNs;
+        private long latencyUpdatedAt;
+        /**
+         * EWMA of the share of its attempts that failed, as of {@code failureRateUpdatedAt}. It decays with
+         * time, so that the host is tried again.
+         */
+        private double failureRate;
+        private long failureRateUpdatedAt;
+        /** Connect failures since the host last answered. */
+        private int connectFailuresSinceAnswer;
+        /** Attempts since the last call of {@link #gauges}: answered, rejected, failed. */
+        private final int[] outcomeCounts = new int[3];
+        /** When the host started, as long as its slow start lasts; 0 if it is warm. */
+        long slowStartBeganAt;
+        /** Token bucket of the slow start as of {@code tokensRefilledAt}; each attempt takes one token. */
+        private double slowStartTokens;
+        private long tokensRefilledAt;
+        /** Sum of the failures' scores since the breaker was last reset, see {@link #BREAKER_OPEN_SCORE}. */
+        private double failureScore;
+        /**
+         * When the open circuit breaker becomes half-open and admits a probe; 0 while it is closed. Any
+         * answer or rejection closes and resets the breaker.
+         */
+        private long halfOpenAt;
+        /** An attempt was sent while the breaker was open; no probe is admitted until an attempt ends. */
+        private boolean probeInFlight;
 
         Host(long id) {
             this.id = id;
-            this.salt = Candidates.mix(id + 0x9e3779b97f4a7c15L);
+            this.hashSalt = Candidates.mix64(id + 0x9e3779b97f4a7c15L);
         }
     }
 
+    /** The caches that are ready; only the first {@link #cacheCount} elements are valid. */
     Host[] caches = {};
-    /** Of our attempts, those that are out at caches. */
-    int outstanding;
+    /** Our attempts in flight at all caches. */
+    int cacheAttemptsInFlight;
     int cacheCount;
+    /** The origin hosts that are ready; empty unless the balancer itself reads from the origin. */
     final List<Host> origins = new ArrayList<>();
-    private final StartTimes starts = new StartTimes();
-    private final Map<Long, Host> known = new LinkedHashMap<>();
+    private final StartTimes startTimes = new StartTimes();
+    /** All hosts that are listed or still have attempts in flight. */
+    private final Map<Long, Host> hostsById = new LinkedHashMap<>();
     private final Settings settings;
-    private long random;
-    private double totalWeight;
-    /** Balancers per host: guards against keys hot over many balancers, none of which sees enough of them. */
-    double crowd = 1;
-    /** Ignores breakers: set for one search when they leave nothing to choose from. */
-    boolean panic;
-    /** First sends to caches wanted lately, older ones counting less. */
-    private double searches;
-    private long searchedAt;
-    private long firstSearchAt;
-    /** Share of late attempts that live hosts gave no connection. Guards against idle ones filling tables. */
-    double connectFailures;
-    /** Share of late attempts that failed after they may have run, over all hosts. */
-    private double failing;
+    private long randomState;
+    private double totalCacheWeight;
+    /**
+     * Balancers per cache, from 1 to {@link #MAX_BALANCERS_PER_HOST}; used as the factor by which hosts in
+     * our own zone are preferred. Where there are many balancers, a key may be hot although none of them sees
+     * enough of its requests to detect that. Preferring hosts in the own zone spreads such keys over more
+     * hosts.
+     */
+    double balancersPerHost = 1;
+    /** Panic mode: breakers are ignored, for a single ranking, when they leave no host to choose from. */
+    boolean inPanicMode;
+    /** Decayed count of requests' first sends to caches, see {@link #recordFirstSend}. */
+    private double recentFirstSends;
+    private long recentFirstSendsUpdatedAt;
+    /** Time of the first send counted, from which on the send rate has been observed. */
+    private long firstSendAt;
+    /**
+     * EWMA of the share of attempts to which live hosts gave no connection. Idle connections of many
+     * balancers may fill the hosts' connection tables; they are closed while this rate is high.
+     */
+    double connectFailureRate;
+    /** EWMA, over all caches, of the share of attempts that failed after they may have run. */
+    private double fleetFailureRate;
 
     HostHealth(Settings settings, long seed) {
         this.settings = settings;
-        this.random = seed;
+        this.randomState = seed;
     }
 
-    /** Applies a list. A host that drains or is gone gets nothing new from this moment on. */
-    void onList(long now, ListMode mode, List<Server> servers) {
+    /** Applies a server list. From now on a host that is draining or gone gets no new attempts. */
+    void applyServerList(long now, ListMode mode, List<Server> servers) {
         if (mode == ListMode.FAILED) {
             return;
         }
         if (mode != ListMode.DELTA) {
-            for (Host host : known.values()) {
+            for (Host host : hostsById.values()) {
                 host.state = State.GONE;
             }
         }
         for (Server server : servers) {
-            Host host = known.computeIfAbsent(server.id(), Host::new);
-            boolean restarted = starts.startedAnew(server.id(), server.startedAt());
+            Host host = hostsById.computeIfAbsent(server.id(), Host::new);
+            boolean hasRestarted = startTimes.recordReportedStart(server.id(), server.startedAt());
             host.zone = server.zone();
             host.inOwnZone = host.zone == settings.zone();
             host.kind = server.kind();
@@ -112,209 +167,243 @@
             host.weight = server.weight() > 0 ? server.weight() : 1;
             host.inverseWeight = 1 / host.weight;
             host.state = server.state();
-            long started = starts.started(now, server.startedAt());
-            if (restarted && now - started < settings.warmWithin()) {
-                host.coldSince = started;
-                host.tokens = nextUnit();
-                host.filledAt = now;
-                close(host);
+            long startedAt = startTimes.toActualStart(now, server.startedAt());
+            if (hasRestarted && now - startedAt < settings.slowStartNs()) {
+                host.slowStartBeganAt = startedAt;
+                host.slowStartTokens = nextRandom();
+                host.tokensRefilledAt = now;
+                closeBreaker(host);
             }
         }
-        starts.listed(now, mode == ListMode.CACHED);
-        rebuild();
+        startTimes.onListApplied(now, mode == ListMode.CACHED);
+        rebuildHostLists();
     }
 
-    private void rebuild() {
-        known.values().removeIf(host -> host.state == State.GONE && host.inFlight == 0);
-        caches = new Host[known.size()];
+    private void rebuildHostLists() {
+        hostsById.values().removeIf(host -> host.state == State.GONE && host.inFlight == 0);
+        caches = new Host[hostsById.size()];
         cacheCount = 0;
-        totalWeight = 0;
+        totalCacheWeight = 0;
         origins.clear();
-        for (Host host : known.values()) {
+        for (Host host : hostsById.values()) {
             if (host.state == State.READY && isOrigin(host)) {
                 origins.add(host);
             } else if (host.state == State.READY) {
                 caches[cacheCount++] = host;
-                totalWeight += host.weight;
+                totalCacheWeight += host.weight;
             }
         }
-        crowd = Math.max(1, Math.min(MOST_CROWD, (double) settings.instances() / Math.max(1, cacheCount)));
+        balancersPerHost = Math.max(1, Math.min(MAX_BALANCERS_PER_HOST,
+                (double) settings.instanceCount() / Math.max(1, cacheCount)));
     }
 
+    /** Whether the host is an origin that the balancer itself reads from, not a cache. */
     boolean isOrigin(Host host) {
-        return settings.aside() && host.kind == settings.originKind();
+        return settings.isCacheAside() && host.kind == settings.originKind();
     }
 
-    /** Whether the host takes the key with this hash: breaker, then slow start by key, then the budget. */
-    boolean admits(long now, Host host, long hash) {
-        if (!panic && host.openUntil != 0 && (now < host.openUntil || host.trial)) {
+    /**
+     * Whether the host may be sent a request for a key. Checks the circuit breaker, then the slow start: a
+     * cold host takes a growing fraction of the keys, within its token bucket. A host whose slow start is
+     * over becomes warm.
+     *
+     * @param hash the hash of key and host combined
+     */
+    boolean isEligible(long now, Host host, long hash) {
+        if (!inPanicMode && host.halfOpenAt != 0 && (now < host.halfOpenAt || host.probeInFlight)) {
             return false;
         }
-        if (host.coldSince == 0) {
+        if (host.slowStartBeganAt == 0) {
             return true;
         }
-        double share = share(now, host);
-        if (share >= 1) {
-            host.coldSince = 0;
+        double capacity = slowStartCapacity(now, host);
+        if (capacity >= 1) {
+            host.slowStartBeganAt = 0;
             return true;
         }
-        // The same keys at every balancer, so that all of them together stay within the share.
-        return ((hash & 2047) < share * 2048 || panic) && withinBudget(now, host, share);
+        // Every balancer sends the same keys, so that all of them together stay within the capacity.
+        return ((hash & 2047) < capacity * 2048 || inPanicMode) && hasSlowStartToken(now, host, capacity);
     }
 
-    /** What a host that started lately can do at the least, as a share of its full capacity. */
-    private double share(long now, Host host) {
-        double grown = Math.max(0.0, now - host.coldSince) / Math.max(1, settings.warmWithin());
-        return Math.min(1, settings.coldFrom() + (1 - settings.coldFrom()) * grown);
+    /** The least that a cold host can serve, as a fraction of its full capacity: grows linearly to 1. */
+    private double slowStartCapacity(long now, Host host) {
+        double elapsedFraction = Math.max(0.0, now - host.slowStartBeganAt)
+                / Math.max(1, settings.slowStartNs());
+        return Math.min(1, settings.initialCapacityFraction()
+                + (1 - settings.initialCapacityFraction()) * elapsedFraction);
     }
 
     /**
-     * Slow start: a token bucket fed with the host's portion of our own sends, so that all balancers together
-     * stay within what the cold host can do, however hot its keys are. It starts at a random level, lest many
-     * balancers with few requests each send their first one at once.
+     * Refills the slow-start token bucket of a cold host and returns whether it holds a token. The bucket is
+     * filled at the host's portion of our own send rate, so that all balancers together stay within what the
+     * cold host can serve, however hot its keys are. It starts at a random level: otherwise many balancers
+     * with few requests each would send their first one at once.
      */
-    private boolean withinBudget(long now, Host host, double share) {
-        // A live weight makes an idle newcomer look many times its size: it counts as average at most.
-        double portion = Math.min(host.weight / Math.max(totalWeight, 1e-9), 1.0 / Math.max(1, cacheCount));
-        double perWindow = share * settings.tipMultiple() * FALL_MARGIN * sendsPerWindow(now) * portion
-                * scarcity(now);
-        // Requests that come singly, by chance, must find a second token, or half of the budget is lost.
-        double most = Math.max(1, Math.max(Math.min(2, perWindow), perWindow * BURST));
-        host.tokens += perWindow * (now - host.filledAt) / settings.fallTime();
-        host.tokens = Math.min(most, host.tokens);
-        host.filledAt = now;
-        return host.tokens >= (panic ? 0 : 1);
+    private boolean hasSlowStartToken(long now, Host host, double capacity) {
+        // Weights may follow the load, so that an idle new host looks many times its size: it counts as
+        // average at most.
+        double portion = Math.min(host.weight / Math.max(totalCacheWeight, 1e-9),
+                1.0 / Math.max(1, cacheCount));
+        double tokensPerWindow = capacity * settings.overloadMultiple() * OVERLOAD_LIMIT_FRACTION
+                * firstSendsPerWindow(now) * portion * warmHostLoadFactor(now);
+        // Requests that arrive singly, at random, must find a second token in the bucket; otherwise half of
+        // the budget is lost.
+        double bucketSize = Math.max(1,
+                Math.max(Math.min(2, tokensPerWindow), tokensPerWindow * BURST_FRACTION));
+        host.slowStartTokens += tokensPerWindow * (now - host.tokensRefilledAt) / settings.overloadWindowNs();
+        host.slowStartTokens = Math.min(bucketSize, host.slowStartTokens);
+        host.tokensRefilledAt = now;
+        return host.slowStartTokens >= (inPanicMode ? 0 : 1);
     }
 
-    /** First sends within a fall time, as lately; a balancer that is new has seen but a part of it. */
-    private double sendsPerWindow(long now) {
-        double span = RATE_WINDOWS * settings.fallTime();
-        double seen = Math.max(settings.fallTime(), now - firstSearchAt);
-        return searches / RATE_WINDOWS / (1 - Math.exp(-seen / span));
+    /**
+     * Recent first sends per window of fall-ns. A new balancer has observed only a part of the averaging
+     * time; the divisor corrects for that.
+     */
+    private double firstSendsPerWindow(long now) {
+        double timeConstant = SEND_RATE_WINDOWS * settings.overloadWindowNs();
+        double observed = Math.max(settings.overloadWindowNs(), now - firstSendAt);
+        return recentFirstSends / SEND_RATE_WINDOWS / (1 - Math.exp(-observed / timeConstant));
     }
 
     /**
-     * What a warm host has to carry, compared with one portion, while so many others are cold. Guards against
-     * cold hosts that stand idle while the few warm ones overflow.
+     * Load on a warm cache, relative to an equal share, while others are cold and take less. Raises the
+     * budget of cold hosts when many are cold at once; otherwise they would stand idle while the few warm
+     * ones are overloaded.
      */
-    private double scarcity(long now) {
+    private double warmHostLoadFactor(long now) {
         double capacity = 0;
         for (int i = 0; i < cacheCount; i++) {
-            capacity += caches[i].coldSince == 0 ? 1 : share(now, caches[i]);
+            capacity += caches[i].slowStartBeganAt == 0 ? 1 : slowStartCapacity(now, caches[i]);
         }
         return cacheCount / Math.max(1, capacity);
     }
 
-    /** A cache is wanted for a request's first send; retries, which multiply in trouble, do not count. */
-    void wanted(long now) {
-        firstSearchAt = searches == 0 ? now : firstSearchAt;
-        searches = 1 + searches * Math.exp((searchedAt - now) / (RATE_WINDOWS * settings.fallTime()));
-        searchedAt = now;
+    /**
+     * Counts a request for which a cache is about to be selected for the first time; the slow-start budget is
+     * based on the rate of these. Retries, which multiply while hosts fail, are not counted.
+     */
+    void recordFirstSend(long now) {
+        firstSendAt = recentFirstSends == 0 ? now : firstSendAt;
+        recentFirstSends = 1 + recentFirstSends
+                * Math.exp((recentFirstSendsUpdatedAt - now)
+                / (SEND_RATE_WINDOWS * settings.overloadWindowNs()));
+        recentFirstSendsUpdatedAt = now;
     }
 
-    void onSend(long now, Host host) {
+    void onAttemptSent(long now, Host host) {
         host.inFlight++;
-        outstanding += isOrigin(host) ? 0 : 1;
-        host.tokens -= host.coldSince != 0 ? 1 : 0;
-        host.trial |= host.openUntil != 0;
+        cacheAttemptsInFlight += isOrigin(host) ? 0 : 1;
+        host.slowStartTokens -= host.slowStartBeganAt != 0 ? 1 : 0;
+        host.probeInFlight |= host.halfOpenAt != 0;
     }
 
-    void onEnd(long now, Host host, Reason reason, long took) {
+    /** Updates the host's latency, failure rate and breaker; the attempt took {@code elapsedNs}. */
+    void onAttemptEnd(long now, Host host, Reason reason, long elapsedNs) {
         host.inFlight--;
-        outstanding -= isOrigin(host) ? 0 : 1;
-        boolean failed = reason == Reason.ERROR || reason == Reason.RESET || reason == Reason.TIMEOUT;
-        learnOfTables(host, reason);
-        if (reason.answered() || reason == Reason.TIMEOUT) {
-            double weight = host.latency == 0 ? 1
-                    : Math.max(LATENCY_WEIGHT, 1 - Math.exp((host.latencyAt - now) / LATENCY_FADE_NS));
-            host.latency += weight * (took - host.latency);
-            host.latencyAt = now;
+        cacheAttemptsInFlight -= isOrigin(host) ? 0 : 1;
+        boolean hasFailed = reason == Reason.ERROR || reason == Reason.RESET || reason == Reason.TIMEOUT;
+        updateConnectFailureRate(host, reason);
+        if (reason.isSuccess() || reason == Reason.TIMEOUT) {
+            double weight = host.latencyNs == 0 ? 1 : Math.max(MIN_LATENCY_EWMA_WEIGHT,
+                    1 - Math.exp((host.latencyUpdatedAt - now) / LATENCY_DECAY_NS));
+            host.latencyNs += weight * (elapsedNs - host.latencyNs);
+            host.latencyUpdatedAt = now;
         }
         if (isOrigin(host)) {
             return;
         }
-        if (reason.answered() || failed || reason == Reason.REJECTED) {
-            host.ends[reason.answered() ? 0 : failed ? 2 : 1]++;
+        if (reason.isSuccess() || hasFailed || reason == Reason.REJECTED) {
+            host.outcomeCounts[reason.isSuccess() ? 0 : hasFailed ? 2 : 1]++;
         }
-        if (reason.answered() || failed) {
-            host.failing = faded(now, host) * (1 - SUSPECT_WEIGHT) + (failed ? SUSPECT_WEIGHT : 0);
-            host.failingAt = now;
-            failing += FAILING_WEIGHT * ((failed ? 1 : 0) - failing);
+        if (reason.isSuccess() || hasFailed) {
+            host.failureRate = decayedFailureRate(now, host) * (1 - HOST_FAILURE_EWMA_WEIGHT)
+                    + (hasFailed ? HOST_FAILURE_EWMA_WEIGHT : 0);
+            host.failureRateUpdatedAt = now;
+            fleetFailureRate += FLEET_EWMA_WEIGHT * ((hasFailed ? 1 : 0) - fleetFailureRate);
         }
-        if (reason.answered() || reason == Reason.REJECTED) {
-            close(host);
+        if (reason.isSuccess() || reason == Reason.REJECTED) {
+            closeBreaker(host);
         } else if (reason == Reason.CONNECT_FAILED) {
-            strike(now, host, OPEN_AT / 2);
-        } else if (failed) {
-            // Guards against moving keys when all hosts fail for one cause: what most do is no evidence.
-            strike(now, host, -Math.log(Math.max(LEAST_CHANCE, failing)));
+            // Two consecutive connect failures open the breaker.
+            recordFailure(now, host, BREAKER_OPEN_SCORE / 2);
+        } else if (hasFailed) {
+            // The higher the fleet's failure rate, the less a failure counts: when all hosts fail for a
+            // common cause, such as a slow origin, opening breakers would only move keys to hosts that do not
+            // hold them.
+            recordFailure(now, host, -Math.log(Math.max(MIN_FLEET_FAILURE_RATE, fleetFailureRate)));
         }
-        host.trial = false;
+        host.probeInFlight = false;
     }
 
     /**
-     * A host that answers although it left an attempt without a connection has a full table. One whose
-     * breaker opened over that may as well have been dead: idle connections to the others fill no table.
+     * A host that answers although an attempt since its last answer got no connection is live, and its
+     * connection table is full. If its breaker opened meanwhile it may as well have been dead, and is not
+     * counted: idle connections to other hosts do not fill the table of a dead one.
      */
-    private void learnOfTables(Host host, Reason reason) {
+    private void updateConnectFailureRate(Host host, Reason reason) {
         if (reason == Reason.CONNECT_FAILED) {
-            host.unconnected++;
-        } else if (reason.answered()) {
-            if (host.openUntil == 0 && host.unconnected > 0) {
-                connectFailures += FAILING_WEIGHT * (1 - connectFailures);
+            host.connectFailuresSinceAnswer++;
+        } else if (reason.isSuccess()) {
+            if (host.halfOpenAt == 0 && host.connectFailuresSinceAnswer > 0) {
+                connectFailureRate += FLEET_EWMA_WEIGHT * (1 - connectFailureRate);
             }
-            connectFailures *= 1 - FAILING_WEIGHT;
-            host.unconnected = 0;
+            connectFailureRate *= 1 - FLEET_EWMA_WEIGHT;
+            host.connectFailuresSinceAnswer = 0;
         }
     }
 
-    private static double faded(long now, Host host) {
-        return host.failing * Math.exp((host.failingAt - now) / SUSPECT_FADE_NS);
+    private static double decayedFailureRate(long now, Host host) {
+        return host.failureRate * Math.exp((host.failureRateUpdatedAt - now) / HOST_FAILURE_DECAY_NS);
     }
 
     /**
-     * Whether the host fails more than others of late. Guards against a host that fails half of its requests,
-     * which each of many balancers meets too seldom for its breaker to open.
+     * Whether the host has lately failed clearly more often than the fleet. Outlier detection covers what
+     * breakers miss: with many balancers each one meets a host that fails half of its requests too seldom to
+     * open a breaker.
      */
-    boolean suspect(long now, Host host) {
-        return faded(now, host) > failing + SUSPECT_OVER;
+    boolean isFailureOutlier(long now, Host host) {
+        return decayedFailureRate(now, host) > fleetFailureRate + OUTLIER_FAILURE_RATE_MARGIN;
     }
 
-    private static void close(Host host) {
-        host.evidence = 0;
-        host.openUntil = 0;
+    private static void closeBreaker(Host host) {
+        host.failureScore = 0;
+        host.halfOpenAt = 0;
     }
 
-    private void strike(long now, Host host, double evidence) {
-        host.evidence += evidence;
-        if (host.evidence >= OPEN_AT && (host.openUntil == 0 || host.trial)) {
-            host.openUntil = now + (long) (TRIAL_AFTER_NS * (0.8 + 0.4 * nextUnit()));
+    /** Adds to the failure score; opens the breaker at the threshold, and again after a failed probe. */
+    private void recordFailure(long now, Host host, double score) {
+        host.failureScore += score;
+        if (host.failureScore >= BREAKER_OPEN_SCORE && (host.halfOpenAt == 0 || host.probeInFlight)) {
+            host.halfOpenAt = now + (long) (BREAKER_OPEN_NS * (0.8 + 0.4 * nextRandom()));
         }
     }
 
+    /** State of the caches for the periodic log line; clears the outcome counts. */
     String gauges() {
-        int open = 0;
-        int cold = 0;
-        int suspects = 0;
-        StringBuilder ends = new StringBuilder();
+        int openBreakers = 0;
+        int coldHosts = 0;
+        int outliers = 0;
+        StringBuilder perHost = new StringBuilder();
         for (int i = 0; i < cacheCount; i++) {
             Host host = caches[i];
-            open += host.openUntil != 0 ? 1 : 0;
-            cold += host.coldSince != 0 ? 1 : 0;
-            suspects += host.failing > failing + SUSPECT_OVER ? 1 : 0;
-            int[] of = host.ends;
-            ends.append(host.inOwnZone ? " *" : " ").append(host.inFlight).append('+').append(of[0])
-                    .append('/').append(of[1]).append('/').append(of[2])
-                    .append('@').append((long) (host.latency / 1e6));
-            Arrays.fill(of, 0);
+            openBreakers += host.halfOpenAt != 0 ? 1 : 0;
+            coldHosts += host.slowStartBeganAt != 0 ? 1 : 0;
+            outliers += host.failureRate > fleetFailureRate + OUTLIER_FAILURE_RATE_MARGIN ? 1 : 0;
+            int[] counts = host.outcomeCounts;
+            perHost.append(host.inOwnZone ? " *" : " ").append(host.inFlight).append('+').append(counts[0])
+                    .append('/').append(counts[1]).append('/').append(counts[2])
+                    .append('@').append((long) (host.latencyNs / 1e6));
+            Arrays.fill(counts, 0);
         }
-        return "caches " + cacheCount + " open-breakers " + open + " cold " + cold + " suspects " + suspects
-                + ", each, * in our zone: in flight + answered/turned away/failed @ latency ms" + ends;
+        return "caches " + cacheCount + " open-breakers " + openBreakers + " cold " + coldHosts
+                + " suspects " + outliers
+                + ", each, * in our zone: in flight + answered/turned away/failed @ latency ms" + perHost;
     }
 
-    /** A random number in [0, 1) from the seed. */
-    double nextUnit() {
-        random += 0x9e3779b97f4a7c15L;
-        return Candidates.unit(Candidates.mix(random));
+    /** The next pseudo-random number in [0, 1), from the seed (SplitMix64). */
+    double nextRandom() {
+        randomState += 0x9e3779b97f4a7c15L;
+        return Candidates.toUnitInterval(Candidates.mix64(randomState));
     }
 }
--- a/src/main/java/eiderscale/KeyOrder.java
+++ b/src/main/java/eiderscale/KeyOrder.java
@@ -1,51 +1,70 @@
 package eiderscale;
 
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Map;
 
-/** The fifth rule: requests of ordered classes with one key run one at a time, in the order taken. */
+/**
+ * A queue per key for the requests of serial classes: requests with the same key run one at a time, in the
+ * order in which they arrived. All times are nanoseconds on the clock of the events.
+ *
+ * @param <T> the type of a request, which must not override {@code equals}
+ */
 final class KeyOrder<T> {
-    /** Requests between two looks for keys that nobody waits for any more. */
-    private static final int SWEEP = 256;
+    /** After so many enqueued requests, keys without requests or cooldown are forgotten. */
+    private static final int SWEEP_INTERVAL_REQUESTS = 256;
 
-    /** The requests of one key that are not over, the running one first, and when the key's rest ends. */
-    private static final class Line<T> {
+    /** The requests of one key that have not ended, the running one first, and the key's cooldown. */
+    private static final class KeyQueue<T> {
         final Deque<T> requests = new ArrayDeque<>();
-        long restUntil = Long.MIN_VALUE;
+        long cooldownEndsAt = Long.MIN_VALUE;
     }
 
-    private final Map<Long, Line<T>> lines = new HashMap<>();
-    private final long quiet;
-    private int entered;
+    private final Map<Long, KeyQueue<T>> queues = new HashMap<>();
+    private final long cooldownNs;
+    private int enqueuedRequests;
 
-    KeyOrder(long quiet) {
-        this.quiet = quiet;
+    /**
+     * Creates an empty order.
+     *
+     * @param cooldownNs how long no request with a key starts after an attempt that may still be running
+     */
+    KeyOrder(long cooldownNs) {
+        this.cooldownNs = cooldownNs;
     }
 
-    /** Puts a request at the end of its key's line; returns how many stand before it. */
-    int enter(long now, long key, T request) {
-        if (++entered % SWEEP == 0) {
-            lines.values().removeIf(line -> line.requests.isEmpty() && line.restUntil <= now);
+    /** Appends a request to its key's queue; returns the number of requests before it. */
+    int enqueue(long now, long key, T request) {
+        if (++enqueuedRequests % SWEEP_INTERVAL_REQUESTS == 0) {
+            queues.values().removeIf(queue -> queue.requests.isEmpty() && queue.cooldownEndsAt <= now);
         }
-        Line<T> line = lines.computeIfAbsent(key, k -> new Line<>());
-        line.requests.add(request);
-        return line.requests.size() - 1;
+        KeyQueue<T> queue = queues.computeIfAbsent(key, k -> new KeyQueue<>());
+        queue.requests.add(request);
+        return queue.requests.size() - 1;
     }
 
-    /** When the request may go: at the end of the key's rest, or not yet if another is before it. */
-    long turn(long key, T request) {
-        Line<T> line = lines.get(key);
-        return line.requests.peek() == request ? line.restUntil : Long.MAX_VALUE;
+    /**
+     * The earliest instant at which a queued request may start: the end of the key's cooldown, which may be
+     * past, or {@link Long#MAX_VALUE} while another request is before it.
+     */
+    long earliestStartAt(long key, T request) {
+        KeyQueue<T> queue = queues.get(key);
+        return queue.requests.peek() == request ? queue.cooldownEndsAt : Long.MAX_VALUE;
     }
 
-    /** An attempt ended that may go on running at its server. */
-    void rest(long now, long key) {
-        lines.get(key).restUntil = now + quiet;
+    /** Starts the cooldown of a key with queued requests: an attempt ended that may still be running. */
+    void startCooldown(long now, long key) {
+        queues.get(key).cooldownEndsAt = now + cooldownNs;
     }
 
-    /** The request is over and none of its attempts is out; returns the first of those left, or null. */
-    T leave(long key, T request) {
-        Line<T> line = lines.get(key);
-        line.requests.remove(request);
-        return line.requests.peek();
+    /**
+     * Removes a queued request that has ended and has no pending attempt; returns the first of the remaining
+     * requests of its key, or null.
+     */
+    T remove(long key, T request) {
+        KeyQueue<T> queue = queues.get(key);
+        queue.requests.remove(request);
+        return queue.requests.peek();
     }
 }
--- a/src/main/java/eiderscale/StartTimes.java
+++ b/src/main/java/eiderscale/StartTimes.java
@@ -4,44 +4,58 @@
 import java.util.Map;
 
 /**
- * When hosts started, in time that runs evenly. Lists tell starts by a wall clock that may be stepped, but a
- * start that the list before did not hold lies between the two lists, whatever its clock says.
+ * Converts the start times that discovery reports for hosts to the balancer's clock, in nanoseconds.
+ *
+ * <p>The balancer's clock is monotonic, while reported start times are read off a wall clock, which may be
+ * stepped. Whatever that clock says, a start that the previous list did not contain happened between the
+ * previous list and the current one.
  */
 final class StartTimes {
-    private static final long UNKNOWN = Long.MIN_VALUE;
-    /** A list may tell of a start so much later than it could have. */
-    private static final long LONGEST_LAG_NS = 2_000_000_000L;
-    private static final int MOST_HOSTS = 8_192;
+    private static final long UNKNOWN_TIME = Long.MIN_VALUE;
+    /** Longest delay between a host's start and the first list that could have reported it. */
+    private static final long MAX_REPORT_LAG_NS = 2_000_000_000L;
+    private static final int MAX_HOSTS = 8_192;
 
-    /** The last start told of each host, also of those no longer listed. */
-    private final Map<Long, Long> told = new LinkedHashMap<>() {
+    /**
+     * The last reported start of each host, including hosts no longer listed. Above {@link #MAX_HOSTS}
+     * entries the oldest one is evicted.
+     */
+    private final Map<Long, Long> reportedStarts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-            return size() > MOST_HOSTS;
+            return size() > MAX_HOSTS;
         }
     };
-    /** When the last list came; unknown until one did in this process. */
-    private long listedAt = UNKNOWN;
+    /** When the last list arrived; unknown until this process has received one from discovery. */
+    private long lastListAt = UNKNOWN_TIME;
 
-    /** Notes what a list tells of a host; true if the host has started since it was last told of. */
-    boolean startedAnew(long host, long startedAt) {
-        Long before = told.put(host, startedAt);
-        return startedAt != 0 && (before == null || before != startedAt);
+    /**
+     * Records the start time that a list reports for a host, 0 for none. Returns whether the host is new or
+     * has restarted since its last report.
+     */
+    boolean recordReportedStart(long hostId, long reportedStart) {
+        Long previous = reportedStarts.put(hostId, reportedStart);
+        return reportedStart != 0 && (previous == null || previous != reportedStart);
     }
 
     /**
-     * The real moment of a start that the list of this moment is the first to tell. Where the moment told
-     * cannot be right the latest possible one, now, is taken: too slow a start harms no host.
+     * Returns the actual time of a start that the list received at {@code now} is the first to report. If the
+     * reported time cannot be right, returns the latest possible time, {@code now}: a slow start that lasts
+     * too long does a host no harm.
      */
-    long started(long now, long startedAt) {
-        boolean untoldBefore = listedAt == UNKNOWN || startedAt >= listedAt - LONGEST_LAG_NS;
-        return startedAt <= now && untoldBefore ? startedAt : now;
+    long toActualStart(long now, long reportedStart) {
+        boolean isAfterLastList = lastListAt == UNKNOWN_TIME
+                || reportedStart >= lastListAt - MAX_REPORT_LAG_NS;
+        return reportedStart <= now && isAfterLastList ? reportedStart : now;
     }
 
-    /** A list has been applied. {@code cached}: one from before this process, whose age nobody knows. */
-    void listed(long now, boolean cached) {
-        listedAt = cached ? UNKNOWN : now;
+    /**
+     * Called after each list has been applied. {@code isCached}: the list dates from before this process, and
+     * its age is unknown.
+     */
+    void onListApplied(long now, boolean isCached) {
+        lastListAt = isCached ? UNKNOWN_TIME : now;
     }
 }
--- a/src/main/java/eiderscale/net/Acceptor.java
+++ b/src/main/java/eiderscale/net/Acceptor.java
@@ -143,7 +143,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        counters.acceptFailure(cause);
+        counters.recordAcceptFailure(cause);
         if (state != State.LISTENING) {
             return;
         }
--- a/src/main/java/eiderscale/net/Attempt.java
+++ b/src/main/java/eiderscale/net/Attempt.java
@@ -16,7 +16,7 @@
     /** Ends the attempt at its {@link #deadline}. */
     Future<?> deadlineTimer;
     /** The connection that it is or will be sent on, which may still be connecting; null before and after. */
-    HostPool.Link connection;
+    HostPool.PooledConnection connection;
 
     Attempt(Exchange exchange, int index, long sentAt, long deadline) {
         this.exchange = exchange;
@@ -27,6 +27,6 @@
 
     /** Whether its last byte has been written to the socket: from then on the cache host may execute it. */
     boolean isFullyWritten() {
-        return connection != null && connection.written();
+        return connection != null && connection.isWritten();
     }
 }
--- a/src/main/java/eiderscale/net/Balancer.java
+++ b/src/main/java/eiderscale/net/Balancer.java
@@ -13,232 +13,244 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between the sockets and the decision module: the ledger of open requests and their attempts, and
- * the timers. It decides nothing: what is sent, repeated, refused or given up is the module's word.
+ * Connects the decision module to the sockets: keeps track of open requests, their attempts and their timers, passes
+ * events to the module and carries out its actions. The module decides what is sent, repeated, refused or cancelled.
+ * Requests are answered without it only if there is no room for them, if they are overdue, if the module fails on
+ * them, or when the program stops.
  *
- * <p>All of it runs on the one event loop. Events reach the module one at a time: an outcome that an action
- * causes at once is queued and handed over when the module has returned, as the module is not reentrant.
+ * <p>All methods must be called on the event loop. The module is not reentrant and gets one event at a time: an event
+ * that one of its actions causes is queued, and delivered when the module has returned.
  */
-final class Balancer implements Api.Actions, HostPool.Listener, Discovery.Listener {
+final class Balancer implements Api.Actions, HostPool.AttemptListener, Discovery.Listener {
     /**
-     * A client counts its wait from when it sent, not from when the request was read here, and the answer
-     * has its way to go as well: this much is taken off, so that a final answer is there before it is overdue.
+     * Subtracted from a request's deadline for the network delay of request and answer, so that the final answer
+     * arrives in time: the client's wait begins when it sends the request, not when that is read here.
      */
-    private static final long WAYS = 6 * Clock.MILLISECOND;
-    /** Past its deadline by this, a request that the module has left open is answered here. */
-    private static final long LAST_CALL = Clock.MILLISECOND;
-    /** Bytes of values that open requests may hold together; the heap has room for a few times that. */
-    private static final long MOST_HELD = 8L * 1024 * 1024;
-
-    /** Makes the decision module, given where its actions go. */
-    interface Module {
+    private static final long CLIENT_NETWORK_MARGIN_NS = 6 * Clock.MILLISECOND;
+    /** How long after its deadline a request that the module has left open is answered without the module. */
+    private static final long OVERDUE_ANSWER_DELAY_NS = Clock.MILLISECOND;
+    /** Maximum total size of the values of the requests in memory; the heap has room for a few times as much. */
+    private static final long MAX_HELD_VALUE_BYTES = 8L * 1024 * 1024;
+
+    /** Creates the decision module, which calls {@code actions} to act. */
+    interface ModuleFactory {
         Api.Events create(Api.Settings settings, long seed, Api.Actions actions);
     }
 
-    private record Event(Exchange exchange, Runnable action) {
+    /** A queued event: {@code moduleCall} delivers it, {@code exchange} is the request that it concerns, or null. */
+    private record Event(Exchange exchange, Runnable moduleCall) {
     }
 
     private final SiteSettings site;
     private final EventLoop loop;
     private final Counters counters;
-    private final Api.Events router;
+    private final Api.Events decisionModule;
     private final HostPool pool;
     private final Discovery discovery;
+    /** Requests that are open or still have an attempt without an outcome, by id. */
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final Queue<Event> events = new ArrayDeque<>();
-    private boolean inModule;
-    private long lastId;
-    private int open;
-    private long held;
-
-    Balancer(Config config, EventLoop loop, Counters counters, Module module,
-             int mostConnections) {
+    private final Queue<Event> pendingEvents = new ArrayDeque<>();
+    private boolean isDelivering;
+    private long lastRequestId;
+    /** The number of requests that are owed an answer. */
+    private int openRequests;
+    /** The total size of the values of {@link #exchanges}. */
+    private long heldValueBytes;
+
+    Balancer(Config config, EventLoop loop, Counters counters, ModuleFactory moduleFactory,
+             int maxHostConnections) {
         this.site = config.site();
         this.loop = loop;
         this.counters = counters;
-        this.pool = new HostPool(site, loop, counters, mostConnections, this);
+        this.pool = new HostPool(site, loop, counters, maxHostConnections, this);
         this.discovery = new Discovery(config, loop, counters, this);
-        this.router = module.create(site.settings, config.randomSeed(), this);
-        Catalog known = config.initialCatalog();
-        onList(Api.ListMode.CACHED, known.members());
+        this.decisionModule = moduleFactory.create(site.settings, config.randomSeed(), this);
+        Catalog configured = config.initialCatalog();
+        onList(Api.ListMode.CACHED, configured.members());
         discovery.start();
     }
 
-    // What comes in.
+    // Input from clients, discovery and cache hosts.
 
     /**
-     * Takes a request, which is answered exactly once unless its client leaves first. {@code waited}: nanoseconds that
-     * its client may have waited before it could be read.
+     * Accepts a request, which is answered exactly once unless its client disconnects before. {@code waitedNs}: how
+     * long the client may already have waited before the request could be read.
      */
-    Exchange take(Command command, Exchange.ReplyHandler client, long waited) {
-        long now = Clock.now();
-        long deadline = now - waited + command.timeoutMs * Clock.MILLISECOND - WAYS;
-        Exchange exchange = new Exchange(++lastId, command, deadline, client);
-        counters.taken++;
-        int bytes = bytes(command);
-        // Running out of room is told to the client: a refusal of what never went out does no harm.
-        if (open >= site.maxOpenRequests || bytes > 0 && held + bytes > MOST_HELD) {
+    Exchange submit(Command command, Exchange.ReplyHandler client, long waitedNs) {
+        long nowNs = Clock.now();
+        long deadline = nowNs - waitedNs + command.timeoutMs * Clock.MILLISECOND - CLIENT_NETWORK_MARGIN_NS;
+        Exchange exchange = new Exchange(++lastRequestId, command, deadline, client);
+        counters.received++;
+        int valueBytes = valueBytes(command);
+        // No room: refused, which is safe as no attempt was sent.
+        if (openRequests >= site.maxOpenRequests
+                || valueBytes > 0 && heldValueBytes + valueBytes > MAX_HELD_VALUE_BYTES) {
             counters.localRefusals++;
             answerRefused(exchange, 0);
             return exchange;
         }
         exchanges.put(exchange.id, exchange);
-        open++;
-        held += bytes;
-        exchange.deadlineTimer = loop.schedule(() -> lastCall(exchange), deadline + LAST_CALL - now,
-                TimeUnit.NANOSECONDS);
+        openRequests++;
+        heldValueBytes += valueBytes;
+        exchange.deadlineTimer = loop.schedule(() -> answerIfOverdue(exchange),
+                deadline + OVERDUE_ANSWER_DELAY_NS - nowNs, TimeUnit.NANOSECONDS);
         Api.Request request = new Api.Request(exchange.id, command.requestClass, command.tenant,
                 command.numericKey(), deadline, command.expectedWorkNs, command.isRetry, command.isWrite);
-        post(exchange, () -> router.onRequest(Clock.now(), request));
+        dispatch(exchange, () -> decisionModule.onRequest(Clock.now(), request));
         return exchange;
     }
 
-    private static int bytes(Command command) {
+    private static int valueBytes(Command command) {
         return command.value == null ? 0 : command.value.length;
     }
 
-    /** The client of an open request has closed its connection: nothing is owed any more. */
-    void clientGone(Exchange exchange) {
+    /** Handles that the client of a request has disconnected: an open request is closed without an answer. */
+    void onClientDisconnect(Exchange exchange) {
         if (exchange.close()) {
-            counters.clientsGone++;
-            counters.goneEarly += inSecondHalf(exchange) ? 0 : 1;
-            open--;
-            withdrawUnsent(exchange);
-            post(exchange, () -> router.onClientGone(Clock.now(), exchange.id));
+            counters.clientDisconnects++;
+            counters.earlyClientDisconnects += isPastHalfOfWait(exchange) ? 0 : 1;
+            openRequests--;
+            abandonUnwrittenAttempts(exchange);
+            dispatch(exchange, () -> decisionModule.onClientGone(Clock.now(), exchange.id));
         }
     }
 
-    /** Answers all that is open by the rules: the program ends. */
-    void settleAll() {
+    /** Ends all attempts and answers all open requests as in {@link #answerWithoutModule}: the program stops. */
+    void answerAllWithoutModule() {
         for (Exchange exchange : List.copyOf(exchanges.values())) {
-            settle(exchange);
+            answerWithoutModule(exchange);
         }
     }
 
     @Override
     public void onList(Api.ListMode mode, List<Catalog.Member> members) {
-        pool.update(mode, members);
+        pool.applyHostList(mode, members);
         List<Api.Server> servers = members.stream().map(Catalog.Member::server).toList();
-        post(null, () -> router.onList(Clock.now(), mode, servers));
+        dispatch(null, () -> decisionModule.onServerList(Clock.now(), mode, servers));
     }
 
     @Override
-    public void onAnswer(Attempt attempt, Reason reason, MetaFrame answer) {
-        end(attempt, reason, answer);
+    public void onAttemptEnded(Attempt attempt, Reason reason, MetaFrame answer) {
+        completeAttempt(attempt, reason, answer);
     }
 
     SiteSettings site() {
         return site;
     }
 
-    /** The number of requests that are owed an answer. */
-    int open() {
-        return open;
+    /** The number of requests that are neither answered nor disconnected. */
+    int openRequests() {
+        return openRequests;
     }
 
     String gauges() {
-        return "open " + open + " ledger " + exchanges.size() + " " + pool.gauges() + " " + discovery.gauges()
-                + " | " + router.gauges();
+        return "open " + openRequests + " ledger " + exchanges.size() + " " + pool.gauges() + " " + discovery.gauges()
+                + " | " + decisionModule.gauges();
     }
 
-    /** Done once requests may be served by the list held. */
-    Future<Void> informed() {
+    /** Completes when the host list may be used to serve requests; see {@link Discovery}. */
+    Future<Void> hostListReady() {
         return discovery.ready();
     }
 
-    /** Discovery is elsewhere from now on. */
-    void discoveryAt(InetSocketAddress address) {
+    /** Continues to watch the host list at another address. */
+    void setDiscoveryAddress(InetSocketAddress address) {
         discovery.changeAddress(address);
     }
 
-    /** Closes what the pool holds idle for too long; called once in a while. */
-    void sweep() {
-        pool.sweep();
+    /** Closes pooled connections that have reached the idle timeout. Called periodically. */
+    void evictExpiredConnections() {
+        pool.evictExpired();
     }
 
-    // Events for the module, one at a time.
+    // Delivery of events to the module, one at a time.
 
-    private void post(Exchange exchange, Runnable action) {
-        events.add(new Event(exchange, action));
-        if (inModule) {
+    /** Queues an event, and delivers it now unless the module is handling another one. */
+    private void dispatch(Exchange exchange, Runnable moduleCall) {
+        pendingEvents.add(new Event(exchange, moduleCall));
+        if (isDelivering) {
             return;
         }
-        inModule = true;
+        isDelivering = true;
         try {
-            for (Event event = events.poll(); event != null; event = events.poll()) {
+            for (Event event = pendingEvents.poll(); event != null; event = pendingEvents.poll()) {
                 deliver(event);
             }
         } finally {
-            inModule = false;
+            isDelivering = false;
         }
     }
 
     private void deliver(Event event) {
         try {
-            event.action.run();
+            event.moduleCall.run();
         } catch (RuntimeException | LinkageError | StackOverflowError e) {
-            // A fault in the module must not take the other requests with it, nor leave this one open.
-            Counters.log("unexpected exception", e);
+            // An error in the module must not affect other requests, nor leave this one without an answer.
+            Counters.log("unexpected exception while delivering an event to the decision module", e);
             if (event.exchange != null) {
-                settle(event.exchange);
+                answerWithoutModule(event.exchange);
             }
         }
         if (event.exchange != null) {
-            forget(event.exchange);
+            removeIfFinished(event.exchange);
         }
     }
 
-    private void forget(Exchange exchange) {
+    /** Removes a request that is over once all its attempts have had their outcome. */
+    private void removeIfFinished(Exchange exchange) {
         if (exchange.isClosed && exchange.pendingAttempts == 0 && exchanges.remove(exchange.id) != null) {
-            held -= bytes(exchange.command);
+            heldValueBytes -= valueBytes(exchange.command);
         }
     }
 
-    /** The module has not answered in time; whatever the reason, the client must not be left without. */
-    private void lastCall(Exchange exchange) {
+    /** Answers a request for which the module has not done so in time, whatever the reason. */
+    private void answerIfOverdue(Exchange exchange) {
         if (!exchange.isClosed) {
-            counters.lastCalls++;
-            settle(exchange);
+            counters.overdueAnswers++;
+            answerWithoutModule(exchange);
         }
     }
 
-    /** Answers by the rules without the module: a refusal only where nothing can have run. */
-    private void settle(Exchange exchange) {
-        boolean mayRun = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
+    /**
+     * Ends a request's attempts and, if it is open, answers it without the module: refused only if no attempt can have
+     * run, so that a client may repeat it safely, and failed otherwise.
+     */
+    private void answerWithoutModule(Exchange exchange) {
+        boolean mayHaveRun = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
         for (Attempt attempt : List.copyOf(exchange.attempts)) {
-            drop(attempt, Reason.CANCELLED);
+            abandonAttempt(attempt, Reason.CANCELLED);
         }
         if (!exchange.isClosed) {
-            if (mayRun) {
+            if (mayHaveRun) {
                 answerFailed(exchange);
             } else {
                 answerRefused(exchange, 0);
             }
-            post(exchange, () -> router.onClientGone(Clock.now(), exchange.id));
+            dispatch(exchange, () -> decisionModule.onClientGone(Clock.now(), exchange.id));
         }
     }
 
     /**
-     * Nothing more goes out for a request that is over. That is no cancelling, which a site may forbid: what
-     * was not written whole is no attempt yet, such as one whose connection is still coming up.
+     * Ends the attempts of a finished request that are not completely written, such as those whose connection is still
+     * being opened. This is allowed even if the site's settings forbid cancelling: they cannot have run yet.
      */
-    private void withdrawUnsent(Exchange exchange) {
+    private void abandonUnwrittenAttempts(Exchange exchange) {
         for (Attempt attempt : List.copyOf(exchange.attempts)) {
             if (!attempt.isFullyWritten()) {
-                drop(attempt, Reason.MOOT);
+                abandonAttempt(attempt, Reason.MOOT);
             }
         }
     }
 
-    private void drop(Attempt attempt, Reason reason) {
+    private void abandonAttempt(Attempt attempt, Reason reason) {
         if (!attempt.isCompleted) {
             pool.abandon(attempt);
-            end(attempt, reason, null);
+            completeAttempt(attempt, reason, null);
         }
     }
 
-    /** Reports the one outcome of an attempt. */
-    private void end(Attempt attempt, Reason reason, MetaFrame answer) {
+    /** Records the outcome of an attempt, and reports it to the module; has no effect if it has one already. */
+    private void completeAttempt(Attempt attempt, Reason reason, MetaFrame answer) {
         if (attempt.isCompleted) {
             return;
         }
@@ -246,125 +258,130 @@
         if (attempt.deadlineTimer != null) {
             attempt.deadlineTimer.cancel(false);
         }
-        counters.outcome(attempt, reason);
+        counters.recordOutcome(attempt, reason);
         Exchange exchange = attempt.exchange;
-        exchange.mayHaveRun |= !reason.neverRan;
-        post(exchange, () -> {
+        exchange.mayHaveRun |= !reason.neverExecuted;
+        dispatch(exchange, () -> {
             exchange.pendingAttempts--;
             if (reason == Reason.OK && !exchange.isClosed) {
                 counters.served(answer.flagValue(1, 'h'), Clock.now() - attempt.sentAt);
-                open--;
+                openRequests--;
                 exchange.reply(answerLine(exchange.command, answer), answer.data());
-                withdrawUnsent(exchange);
+                abandonUnwrittenAttempts(exchange);
             }
             float[] report = site.parseReport(answer == null ? null : answer.flagValue(1, 'L'));
             long now = Clock.now();
-            router.onOutcome(now, new Api.Outcome(exchange.id, attempt.index, reason, now - attempt.sentAt,
-                    exchange.isClosed, report));
+            decisionModule.onAttemptOutcome(now, new Api.AttemptOutcome(exchange.id, attempt.index, reason,
+                    now - attempt.sentAt, exchange.isClosed, report));
         });
     }
 
-    /** What a host answered, without what it tells balancers only. */
+    /** A host's answer in the form for the client, without the flags that are meant for balancers. */
     private static String answerLine(Command command, MetaFrame answer) {
         return command.isWrite ? "HD O" + command.opaque + " c" + answer.flagValue(1, 'c') + "\r\n"
                 : "VA " + answer.data().length + " O" + command.opaque + "\r\n";
     }
 
     private void answerRefused(Exchange exchange, long retryAfterMs) {
-        counters.refusedUnsent += exchange.attempts.isEmpty() ? 1 : 0;
-        countHeldBack(exchange);
+        counters.refusedWithoutAttempt += exchange.attempts.isEmpty() ? 1 : 0;
+        countIfLateAndUnwritten(exchange);
         exchange.reply(retryAfterMs > 0 ? "SERVER_ERROR busy " + retryAfterMs + "\r\n" : Command.BUSY_REPLY,
                 null);
         counters.refused++;
-        open -= exchanges.containsKey(exchange.id) ? 1 : 0;
-        withdrawUnsent(exchange);
+        openRequests -= exchanges.containsKey(exchange.id) ? 1 : 0;
+        abandonUnwrittenAttempts(exchange);
     }
 
     private void answerFailed(Exchange exchange) {
-        countHeldBack(exchange);
+        countIfLateAndUnwritten(exchange);
         exchange.reply("SERVER_ERROR failed\r\n", null);
         counters.failed++;
-        open--;
-        withdrawUnsent(exchange);
+        openRequests--;
+        abandonUnwrittenAttempts(exchange);
     }
 
-    private void countHeldBack(Exchange exchange) {
-        boolean written = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
-        counters.heldBack += !written && inSecondHalf(exchange) ? 1 : 0;
+    /** Counts a request that is answered unserved in the second half of its client's wait, with nothing written. */
+    private void countIfLateAndUnwritten(Exchange exchange) {
+        boolean isAnyWritten = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
+        counters.lateAndUnwritten += !isAnyWritten && isPastHalfOfWait(exchange) ? 1 : 0;
     }
 
-    private static boolean inSecondHalf(Exchange exchange) {
+    /** Whether less than half of the client's wait is left. */
+    private static boolean isPastHalfOfWait(Exchange exchange) {
         return Clock.now() > exchange.deadline - exchange.command.timeoutMs * Clock.MILLISECOND / 2;
     }
 
-    // What the module asks for, carried out in its order.
+    // Actions of the module, carried out in the order of the calls.
 
     @Override
-    public void send(long request, long server, long cutAt) {
-        Exchange exchange = exchanges.get(request);
+    public void send(long requestId, long serverId, long requestedDeadline) {
+        Exchange exchange = exchanges.get(requestId);
         if (exchange == null) {
-            Counters.log("send for a request that is over: " + request);
+            Counters.log("decision module sent an attempt of a finished request: " + requestId);
             return;
         }
-        long now = Clock.now();
-        long cut = cutAt <= 0 ? exchange.deadline : Math.min(cutAt, exchange.deadline);
-        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), now, cut);
+        long nowNs = Clock.now();
+        long attemptDeadline = requestedDeadline <= 0 ? exchange.deadline
+                : Math.min(requestedDeadline, exchange.deadline);
+        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), nowNs, attemptDeadline);
         exchange.attempts.add(attempt);
         exchange.pendingAttempts++;
-        boolean tooMany = exchange.attempts.size() > site.settings.maxAttempts();
-        if (exchange.isClosed || tooMany || now >= exchange.deadline) {
-            end(attempt, Reason.MOOT, null);
-        } else if (now >= cut) {
-            end(attempt, Reason.TIMEOUT, null);
+        boolean exceedsMaxAttempts = exchange.attempts.size() > site.settings.maxAttempts();
+        if (exchange.isClosed || exceedsMaxAttempts || nowNs >= exchange.deadline) {
+            completeAttempt(attempt, Reason.MOOT, null);
+        } else if (nowNs >= attemptDeadline) {
+            completeAttempt(attempt, Reason.TIMEOUT, null);
         } else {
-            attempt.deadlineTimer = loop.schedule(() -> cut(attempt), cut - now, TimeUnit.NANOSECONDS);
-            pool.send(attempt, server);
+            attempt.deadlineTimer = loop.schedule(() -> onAttemptTimeout(attempt), attemptDeadline - nowNs,
+                    TimeUnit.NANOSECONDS);
+            pool.send(attempt, serverId);
         }
     }
 
-    private void cut(Attempt attempt) {
-        counters.timer(Clock.now() - attempt.deadline);
-        // What never left cannot have run: its connection did not come up in time.
-        drop(attempt, attempt.isFullyWritten() ? Reason.TIMEOUT : Reason.CONNECT_FAILED);
+    private void onAttemptTimeout(Attempt attempt) {
+        counters.recordTimer(Clock.now() - attempt.deadline);
+        // An attempt that was not completely written cannot have run: its connection was not open in time.
+        abandonAttempt(attempt, attempt.isFullyWritten() ? Reason.TIMEOUT : Reason.CONNECT_FAILED);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        Exchange exchange = exchanges.get(request);
-        if (exchange != null && attempt < exchange.attempts.size()) {
-            drop(exchange.attempts.get(attempt), Reason.CANCELLED);
+    public void cancel(long requestId, int attemptNumber) {
+        Exchange exchange = exchanges.get(requestId);
+        if (exchange != null && attemptNumber < exchange.attempts.size()) {
+            abandonAttempt(exchange.attempts.get(attemptNumber), Reason.CANCELLED);
         }
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
-        Exchange exchange = exchanges.get(request);
+    public void refuse(long requestId, long retryAfterNs) {
+        Exchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isClosed) {
-            long most = site.settings.retryAfter() ? Math.min(retryAfter, site.settings.maxRetryAfter()) : 0;
-            answerRefused(exchange, (most + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
+            long cappedRetryAfterNs = site.settings.sendsRetryAfter()
+                    ? Math.min(retryAfterNs, site.settings.maxRetryAfterNs()) : 0;
+            answerRefused(exchange, (cappedRetryAfterNs + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
         }
     }
 
     @Override
-    public void fail(long request) {
-        Exchange exchange = exchanges.get(request);
+    public void fail(long requestId) {
+        Exchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isClosed) {
             answerFailed(exchange);
         }
     }
 
     @Override
-    public void wakeAt(long moment, int token) {
-        long delay = Math.max(0, moment - Clock.now());
+    public void scheduleTimer(long dueAt, int token) {
+        long delayNs = Math.max(0, dueAt - Clock.now());
         loop.schedule(() -> {
-            counters.timer(Clock.now() - moment);
-            post(null, () -> router.onTimer(Clock.now(), token));
-        }, delay, TimeUnit.NANOSECONDS);
+            counters.recordTimer(Clock.now() - dueAt);
+            dispatch(null, () -> decisionModule.onTimer(Clock.now(), token));
+        }, delayNs, TimeUnit.NANOSECONDS);
     }
 
     @Override
-    public void closeIdle(long server) {
-        pool.closeIdle(server);
+    public void closeIdleConnections(long serverId) {
+        pool.closeIdleConnections(serverId);
     }
 
     @Override
--- a/src/main/java/eiderscale/net/ClientServer.java
+++ b/src/main/java/eiderscale/net/ClientServer.java
@@ -218,7 +218,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             if (connections.size() >= maxConnections + maxOverLimitConnections) {
                 state = State.CLOSED;
-                counters.turnedAway++;
+                counters.rejectedClients++;
                 ctx.close();
                 return;
             }
@@ -231,7 +231,7 @@
             markIdle();
             firstCommandTimer = loop.schedule(() -> {
                 if (!hasReceivedFrame) {
-                    counters.silent++;
+                    counters.silentPeers++;
                     channel.close();
                 }
             }, Math.max(MIN_FIRST_COMMAND_TIMEOUT_MS, FIRST_COMMAND_TIMEOUT_MS - receiveDelayNs / Clock.MILLISECOND),
@@ -252,7 +252,7 @@
             long now = Clock.now();
             for (Connection candidate : idleConnections) {
                 if (candidate.pendingWrites == 0 && now - candidate.idleSince >= candidate.minIdleBeforeEvictionNs()) {
-                    counters.evicted++;
+                    counters.evictedClients++;
                     candidate.startLingeringClose();
                     if (lingeringConnections.size() > maxOverLimitConnections) {
                         lingeringConnections.iterator().next().close();
@@ -337,7 +337,7 @@
                         TimeUnit.MILLISECONDS);
                 return;
             }
-            counters.malformed++;
+            counters.malformedCommands++;
             state = State.DRAINING;
             decoder.discardInput();
             reject = null;
@@ -352,7 +352,7 @@
             if (decoder.isDiscarding()) {
                 pendingReplies.remove(pending);
             } else if (frame.protocolError() != null) {
-                counters.malformed++;
+                counters.malformedCommands++;
                 pending.reply(frame.protocolError() + "\r\n", null);
             } else {
                 process(pending, frame);
@@ -407,7 +407,7 @@
                     decoder.discardInput();
                 }
                 default -> {
-                    counters.malformed++;
+                    counters.malformedCommands++;
                     pending.reply("ERROR\r\n", null);
                 }
             }
@@ -424,9 +424,9 @@
             try {
                 Command command = new Command(frame, balancer.site());
                 hasReceivedValidCommand = true;
-                pending.exchange = balancer.take(command, pending, receiveDelayNs);
+                pending.exchange = balancer.submit(command, pending, receiveDelayNs);
             } catch (Command.MalformedCommandException e) {
-                counters.malformed++;
+                counters.malformedCommands++;
                 pending.reply(e.getMessage() + "\r\n", null);
             }
         }
@@ -446,7 +446,7 @@
                 channel.write(pending.reply).addListener(done -> {
                     unsentBytes -= bytes;
                     pendingWrites--;
-                    counters.delivery(writeAt - pending.completedAt, Clock.now() - pending.completedAt);
+                    counters.recordAnswerWrite(writeAt - pending.completedAt, Clock.now() - pending.completedAt);
                 });
                 hasWritten = true;
             }
@@ -555,7 +555,7 @@
                     unsentBytes -= pending.reply.readableBytes();
                     pending.reply.release();
                 } else if (pending.exchange != null) {
-                    balancer.clientGone(pending.exchange);
+                    balancer.onClientDisconnect(pending.exchange);
                 }
             }
             pendingReplies.clear();
@@ -564,7 +564,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof java.io.IOException) {
-                counters.brokenClient(cause, openRequestOpaques());
+                counters.recordBrokenClientConnection(cause, openRequestOpaques());
             } else {
                 Counters.log("unexpected exception on a client connection", cause);
             }
--- a/src/main/java/eiderscale/net/Clock.java
+++ b/src/main/java/eiderscale/net/Clock.java
@@ -1,18 +1,22 @@
 package eiderscale.net;
 
 /**
- * The program's clock, in nanoseconds: the monotonic clock moved once onto Unix time. One fixed offset
- * keeps it from ever falling, and start times told by discovery compare with it directly.
+ * The program's clock: Unix time in nanoseconds, but monotonic. It is {@link System#nanoTime} plus an offset that is
+ * fixed when the program starts, so that it never goes back, and can be compared with the start times that discovery
+ * sends.
  */
 final class Clock {
+    /** Nanoseconds in a millisecond. */
     static final long MILLISECOND = 1_000_000L;
+    /** Nanoseconds in a second. */
     static final long SECOND = 1_000_000_000L;
-    private static final long OFFSET = System.currentTimeMillis() * MILLISECOND - System.nanoTime();
+    private static final long UNIX_OFFSET_NS = System.currentTimeMillis() * MILLISECOND - System.nanoTime();
 
     private Clock() {
     }
 
+    /** The present time in nanoseconds since the Unix epoch. */
     static long now() {
-        return System.nanoTime() + OFFSET;
+        return System.nanoTime() + UNIX_OFFSET_NS;
     }
 }
--- a/src/main/java/eiderscale/net/Config.java
+++ b/src/main/java/eiderscale/net/Config.java
@@ -37,7 +37,7 @@
     /** This balancer's part of the tenants' allowances, in requests per second; 0 if none is configured. */
     double allowedRequestsPerSecond() {
         return site.settings.tenants().stream().mapToDouble(Api.Tenant::allowancePerSecond).sum()
-                / Math.max(1, site.settings.instances());
+                / Math.max(1, site.settings.instanceCount());
     }
 
     /** The limits that this balancer runs with, for the log. */
@@ -45,9 +45,9 @@
         return "cores " + cores + ", " + Math.round(allowedRequestsPerSecond()) + " requests/s, " + maxSockets
                 + " sockets, idle and connect timeouts " + site.idleTimeoutNs / Clock.MILLISECOND
                 + ", " + site.connectTimeoutNs / Clock.MILLISECOND + " ms, max attempts "
-                + site.settings.maxAttempts() + ", " + site.settings.classes().stream()
-                .map(requestClass -> requestClass.aim() / Clock.MILLISECOND + " ms goal / "
-                        + requestClass.deadline() / Clock.MILLISECOND + " ms deadline").toList();
+                + site.settings.maxAttempts() + ", " + site.settings.requestClasses().stream()
+                .map(requestClass -> requestClass.goalTimeNs() / Clock.MILLISECOND + " ms goal / "
+                        + requestClass.timeoutNs() / Clock.MILLISECOND + " ms deadline").toList();
     }
 
     static Config parse(Map<?, ?> json) {
--- a/src/main/java/eiderscale/net/Counters.java
+++ b/src/main/java/eiderscale/net/Counters.java
@@ -4,222 +4,265 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Sparse counts on standard error, to find causes by: how requests and attempts end, and how late we run. */
+/**
+ * The balancer's metrics, written to standard error as one periodic line, and the functions that write other log lines
+ * there. They show why requests or attempts end badly and how late the event loop runs. Metrics are updated on the
+ * event loop only; {@link #log} may be called on any thread. Counts are totals since the program started, except those
+ * described as since the last metrics line. Durations are in nanoseconds.
+ */
 final class Counters {
     private static final String PREFIX = "shelfroute: ";
+    /** Attempts by how they ended, indexed by {@link Reason}. */
     private final long[] outcomes = new long[Reason.values().length];
-    long taken;
+    /** Valid requests passed to {@link Balancer#submit}; each is served, refused, failed, or ends by a disconnect. */
+    long received;
+    /** Requests answered with a host's successful answer. */
     private long served;
-    /** Of those served, how many their host had to fetch. */
+    /** Cache misses: served reads whose value the host had to fetch from the origin. */
     private long missed;
-    /** Reads answered since the last line, and their time: those their host held, and those it fetched. */
+    /** Served reads since the last metrics line: cache hits at index 0, cache misses at index 1. */
     private final long[] reads = new long[2];
-    private final long[] readTime = new long[2];
+    /** The sum of the latencies of {@link #reads}, in nanoseconds. */
+    private final long[] readTimeNs = new long[2];
+    /** Received requests answered "busy". */
     long refused;
+    /** Received requests answered "failed". */
     long failed;
-    long clientsGone;
-    /** Of those gone, how many left in the first half of their time. */
-    long goneEarly;
-    long malformed;
-    long lastCalls;
-    long connects;
-    /** Connections that could not be begun as this machine had no socket, and calls to accept that failed. */
-    long noSocket;
+    /** Requests whose client disconnected before they were answered. */
+    long clientDisconnects;
+    /** The part of {@link #clientDisconnects} that came in the first half of the time that the client would wait. */
+    long earlyClientDisconnects;
+    long malformedCommands;
+    /** Requests answered without the decision module, as it had not answered them by their deadline. */
+    long overdueAnswers;
+    /** Connections to cache hosts that the pool has begun to open. */
+    long connectionsStarted;
+    /** Outgoing connections that could not be started, as no socket could be created. */
+    long socketFailures;
+    /** Failed accept calls. */
     private long acceptFailures;
     private long discoveryFailures;
-    private long brokenClients;
-    /** Reads and writes that failed, on connections of any kind. */
-    private long failedCalls;
-    private final SparseLog callLog = new SparseLog();
-    private final SparseLog clientLog = new SparseLog();
-    private final SparseLog acceptLog = new SparseLog();
-    private final SparseLog discoveryLog = new SparseLog();
-    /** Of those, how many their host turned away with its first word: it had no place for them. */
-    long noPlace;
+    private long brokenClientConnections;
+    /** Failed read and write calls, on connections of any kind. */
+    private long ioFailures;
+    private final RateLimitedLog ioFailureLog = new RateLimitedLog();
+    private final RateLimitedLog brokenClientLog = new RateLimitedLog();
+    private final RateLimitedLog acceptFailureLog = new RateLimitedLog();
+    private final RateLimitedLog discoveryFailureLog = new RateLimitedLog();
+    /** New connections whose first request the host answered "busy", as it was at its connection limit. */
+    long connectionsRejectedByHost;
+    /** Requests and attempts that were refused for lack of room in this process, not by the decision module. */
     long localRefusals;
-    /** Of those refused, how many no attempt had been made for. */
-    long refusedUnsent;
-    /** Ended unserved in the second half of their time with no attempt written whole. */
-    long heldBack;
-    /** Attempts of writes, and further attempts; of each how many ended in an error. */
-    private final long[] writes = new long[2];
-    private final long[] further = new long[2];
-    /** Clients' connections ended by us: idle ones for want of room, and new ones past all room. */
-    long evicted;
-    long turnedAway;
-    /** Peers that were closed for having said nothing whole. */
-    long silent;
-    /** Resets on connections that had stood idle, and the shortest and longest such time. */
+    /** The part of {@link #refused} for which no attempt was made. */
+    long refusedWithoutAttempt;
+    /** Requests refused or failed in the second half of their client's wait, with no attempt written completely. */
+    long lateAndUnwritten;
+    /** Attempts of write requests: all at index 0, those that ended in an error at index 1. */
+    private final long[] writeAttempts = new long[2];
+    /** Attempts other than a request's first: all at index 0, those that ended in an error at index 1. */
+    private final long[] furtherAttempts = new long[2];
+    /** Idle client connections that were closed to make room for new ones. */
+    long evictedClients;
+    /** New client connections that were closed at once, as there was no room even to refuse their requests. */
+    long rejectedClients;
+    /** Client connections closed because they sent no complete command in time. */
+    long silentPeers;
+    /** Attempts on reused connections that ended as the connection was lost. */
     long staleResets;
-    private long shortestStale = Long.MAX_VALUE;
-    private long longestStale;
-    private long longestWay;
-    private long slowDeliveries;
-    private long longestDelivery;
-    private long longestTurn;
-    private long troubles;
+    /** The shortest time that such a connection had been idle, since the last metrics line. */
+    private long minStaleIdleNs = Long.MAX_VALUE;
+    /** The longest such time since the last metrics line. */
+    private long maxStaleIdleNs;
+    /** The maximum of {@link #recordSendDelay} since the last metrics line. */
+    private long maxSendDelayNs;
+    /** Answers whose write to the client took more than 5 ms. */
+    private long slowAnswerWrites;
+    /** The longest write of an answer to a client since the last metrics line. */
+    private long maxAnswerWriteNs;
+    /** The longest that an answer was queued behind earlier ones, since the last metrics line. */
+    private long maxAnswerQueueNs;
+    /** The sum of the problem counts at the last call of {@link #hasNewProblems}. */
+    private long lastProblemCount;
+    /** Timers that have run. */
     private long timers;
+    /** Timers that ran more than 5 ms late. */
     private long lateTimers;
-    private long latest;
+    /** The longest delay of a timer since the last metrics line. */
+    private long maxTimerDelayNs;
 
-    void outcome(Attempt attempt, Reason reason) {
+    void recordOutcome(Attempt attempt, Reason reason) {
         outcomes[reason.ordinal()]++;
         int error = reason == Reason.ERROR ? 1 : 0;
         if (attempt.exchange.command.isWrite) {
-            writes[0]++;
-            writes[1] += error;
+            writeAttempts[0]++;
+            writeAttempts[1] += error;
         }
         if (attempt.index > 0) {
-            further[0]++;
-            further[1] += error;
+            furtherAttempts[0]++;
+            furtherAttempts[1] += error;
         }
     }
 
-    /** A request was served; {@code hit} is the answer's word on it, null for a write. */
-    void served(String hit, long took) {
+    /**
+     * Records a served request. {@code hitFlag}: the answer's flag {@code h}, "0" for a cache miss, null for a write.
+     * {@code tookNs}: the latency of the attempt that was served.
+     */
+    void served(String hitFlag, long tookNs) {
         served++;
-        if (hit != null) {
-            int fetched = "0".equals(hit) ? 1 : 0;
+        if (hitFlag != null) {
+            int fetched = "0".equals(hitFlag) ? 1 : 0;
             missed += fetched;
             reads[fetched]++;
-            readTime[fetched] += took;
+            readTimeNs[fetched] += tookNs;
         }
     }
 
-    private double meanRead(int fetched) {
-        return (double) readTime[fetched] / Math.max(1, reads[fetched]);
+    private double meanReadTimeNs(int index) {
+        return (double) readTimeNs[index] / Math.max(1, reads[index]);
     }
 
-    void timer(long late) {
+    /** Records that a timer ran, {@code delayNs} after it was due. */
+    void recordTimer(long delayNs) {
         timers++;
-        lateTimers += late > 5 * Clock.MILLISECOND ? 1 : 0;
-        latest = Math.max(latest, late);
+        lateTimers += delayNs > 5 * Clock.MILLISECOND ? 1 : 0;
+        maxTimerDelayNs = Math.max(maxTimerDelayNs, delayNs);
     }
 
-    /** From the module's send until the attempt's last byte was handed to its connection. */
-    void way(long took) {
-        longestWay = Math.max(longestWay, took);
+    /** Records the time from the decision module's send until the attempt was handed to its connection for writing. */
+    void recordSendDelay(long delayNs) {
+        maxSendDelayNs = Math.max(maxSendDelayNs, delayNs);
     }
 
-    /** From an answer until its turn came on the client's connection, and until its last byte had left. */
-    void delivery(long turn, long left) {
-        slowDeliveries += left - turn > 5 * Clock.MILLISECOND ? 1 : 0;
-        longestTurn = Math.max(longestTurn, turn);
-        longestDelivery = Math.max(longestDelivery, left - turn);
+    /**
+     * Records the write of an answer to a client. Both times count from when the answer was there: {@code queuedNs}
+     * until all earlier commands of the connection had been answered and its write began, {@code writtenNs} until its
+     * last byte was written.
+     */
+    void recordAnswerWrite(long queuedNs, long writtenNs) {
+        slowAnswerWrites += writtenNs - queuedNs > 5 * Clock.MILLISECOND ? 1 : 0;
+        maxAnswerQueueNs = Math.max(maxAnswerQueueNs, queuedNs);
+        maxAnswerWriteNs = Math.max(maxAnswerWriteNs, writtenNs - queuedNs);
     }
 
-    void acceptFailure(Throwable cause) {
+    void recordAcceptFailure(Throwable cause) {
         acceptFailures++;
-        acceptLog.log("cannot accept: " + cause);
+        acceptFailureLog.log("cannot accept: " + cause);
     }
 
-    /** A client's connection broke under these requests. */
-    void brokenClient(Throwable cause, List<String> openRequests) {
-        brokenClients++;
+    /** Records that a client connection broke; {@code openRequests} are the opaques of its unanswered requests. */
+    void recordBrokenClientConnection(Throwable cause, List<String> openRequests) {
+        brokenClientConnections++;
         if (!openRequests.isEmpty()) {
-            clientLog.log("a client's connection broke: " + cause + ", open requests " + openRequests);
+            brokenClientLog.log("client connection broke: " + cause + ", open requests " + openRequests);
         }
     }
 
-    /** A read or write failed; the connection may be whole all the same. */
-    void failedCall(String call, Throwable cause) {
-        failedCalls++;
-        callLog.log("a " + call + " failed: " + cause.getMessage());
+    /** Records a failed read or write call ({@code operation}); the connection may still work. */
+    void recordIoFailure(String operation, Throwable cause) {
+        ioFailures++;
+        ioFailureLog.log("a " + operation + " failed: " + cause.getMessage());
     }
 
-    void discoveryFailure(String line) {
+    void recordDiscoveryFailure(String line) {
         discoveryFailures++;
-        discoveryLog.log(line);
+        discoveryFailureLog.log(line);
     }
 
-    void staleReset(long idleFor) {
+    /** Records that an attempt failed on a reused connection, which had been idle for {@code idleNs} before. */
+    void recordStaleReset(long idleNs) {
         staleResets++;
-        longestStale = Math.max(longestStale, idleFor);
-        shortestStale = Math.min(shortestStale, idleFor);
+        maxStaleIdleNs = Math.max(maxStaleIdleNs, idleNs);
+        minStaleIdleNs = Math.min(minStaleIdleNs, idleNs);
     }
 
-    /** Whether anything went badly since the last call: such a second is worth a line of its own. */
-    boolean troubled() {
-        long before = troubles;
-        troubles = refused + failed + lastCalls + lateTimers + turnedAway + evicted + staleResets
-                + outcomes[Reason.TIMEOUT.ordinal()] + outcomes[Reason.CONNECT_FAILED.ordinal()];
-        return troubles != before;
+    /** Whether any problem was counted since the last call, so that a metrics line should be written at once. */
+    boolean hasNewProblems() {
+        long previousCount = lastProblemCount;
+        lastProblemCount = refused + failed + overdueAnswers + lateTimers + rejectedClients + evictedClients
+                + staleResets + outcomes[Reason.TIMEOUT.ordinal()] + outcomes[Reason.CONNECT_FAILED.ordinal()];
+        return lastProblemCount != previousCount;
     }
 
-    /** Writes what has been counted so far; what is called worst is so since the last line. */
-    void print(String gauges) {
-        LogLine line = new LogLine();
-        printRequests(line);
-        printConnections(line);
-        printDelays(line);
-        printReads(line);
-        printFailures(line);
-        printOutcomes(line);
-        forgetWorst();
-        log(line.words(gauges).toString());
+    /**
+     * Writes the metrics line, with {@code gauges} at its end. Counts are totals; maxima and the hits, fetched and mean
+     * of reads cover the time since the last line.
+     */
+    void printMetrics(String gauges) {
+        MetricsLine line = new MetricsLine();
+        appendRequests(line);
+        appendConnections(line);
+        appendDelays(line);
+        appendReads(line);
+        appendFailures(line);
+        appendOutcomes(line);
+        resetPerLineValues();
+        log(line.append(gauges).toString());
     }
 
-    private void printRequests(LogLine line) {
-        line.count("taken", taken).count("served", served).count("missed", missed).count("refused", refused)
-                .count("unsent", refusedUnsent).count("failed", failed).count("gone", clientsGone)
-                .count("early", goneEarly).count("malformed", malformed).count("last-calls", lastCalls)
-                .count("held-back", heldBack).group();
+    private void appendRequests(MetricsLine line) {
+        line.count("taken", received).count("served", served).count("missed", missed).count("refused", refused)
+                .count("unsent", refusedWithoutAttempt).count("failed", failed).count("gone", clientDisconnects)
+                .count("early", earlyClientDisconnects).count("malformed", malformedCommands)
+                .count("last-calls", overdueAnswers).count("held-back", lateAndUnwritten).endGroup();
     }
 
-    private void printConnections(LogLine line) {
-        line.count("connects", connects).count("no-place", noPlace).count("local-refusals", localRefusals)
-                .count("evicted", evicted).count("turned-away", turnedAway).count("silent", silent)
+    private void appendConnections(MetricsLine line) {
+        line.count("connects", connectionsStarted).count("no-place", connectionsRejectedByHost)
+                .count("local-refusals", localRefusals).count("evicted", evictedClients)
+                .count("turned-away", rejectedClients).count("silent", silentPeers)
                 .count("stale-resets", staleResets);
-        if (longestStale > 0) {
-            line.ms("after", shortestStale).ms("to", longestStale);
+        if (maxStaleIdleNs > 0) {
+            line.millis("after", minStaleIdleNs).millis("to", maxStaleIdleNs);
         }
-        line.group();
+        line.endGroup();
     }
 
-    private void printDelays(LogLine line) {
-        line.ms("turn worst", longestTurn).count("slow deliveries", slowDeliveries).ms("worst", longestDelivery)
-                .ms("way worst", longestWay).count("timers", timers).count("late", lateTimers).ms("worst", latest)
-                .group();
+    private void appendDelays(MetricsLine line) {
+        line.millis("turn worst", maxAnswerQueueNs).count("slow deliveries", slowAnswerWrites)
+                .millis("worst", maxAnswerWriteNs).millis("way worst", maxSendDelayNs).count("timers", timers)
+                .count("late", lateTimers).millis("worst", maxTimerDelayNs).endGroup();
     }
 
-    private void printReads(LogLine line) {
-        line.count("hits", reads[0]).ms("mean", meanRead(0)).count("fetched", reads[1]).ms("mean", meanRead(1))
-                .part("errors of writes", writes[1], writes[0]).part("of further", further[1], further[0]).group();
+    private void appendReads(MetricsLine line) {
+        line.count("hits", reads[0]).millis("mean", meanReadTimeNs(0)).count("fetched", reads[1])
+                .millis("mean", meanReadTimeNs(1)).ratio("errors of writes", writeAttempts[1], writeAttempts[0])
+                .ratio("of further", furtherAttempts[1], furtherAttempts[0]).endGroup();
     }
 
-    private void printFailures(LogLine line) {
-        line.count("no-socket", noSocket).count("accept-failures", acceptFailures)
-                .count("discovery-failures", discoveryFailures).count("broken-clients", brokenClients)
-                .count("failed-calls", failedCalls).group();
+    private void appendFailures(MetricsLine line) {
+        line.count("no-socket", socketFailures).count("accept-failures", acceptFailures)
+                .count("discovery-failures", discoveryFailures).count("broken-clients", brokenClientConnections)
+                .count("failed-calls", ioFailures).endGroup();
     }
 
-    private void printOutcomes(LogLine line) {
+    private void appendOutcomes(MetricsLine line) {
         for (Reason reason : Reason.values()) {
             if (outcomes[reason.ordinal()] > 0) {
                 line.count(reason.name(), outcomes[reason.ordinal()]);
             }
         }
-        line.group();
+        line.endGroup();
     }
 
-    private void forgetWorst() {
+    private void resetPerLineValues() {
         Arrays.fill(reads, 0);
-        Arrays.fill(readTime, 0);
-        latest = 0;
-        longestWay = 0;
-        longestTurn = 0;
-        longestDelivery = 0;
-        longestStale = 0;
-        shortestStale = Long.MAX_VALUE;
+        Arrays.fill(readTimeNs, 0);
+        maxTimerDelayNs = 0;
+        maxSendDelayNs = 0;
+        maxAnswerQueueNs = 0;
+        maxAnswerWriteNs = 0;
+        maxStaleIdleNs = 0;
+        minStaleIdleNs = Long.MAX_VALUE;
     }
 
+    /** Writes a log line to standard error. */
     static void log(String line) {
         System.err.println(PREFIX + line);
     }
 
-    /** An exception that nobody expected: the place where it arose is what finds its cause. */
-    static void log(String what, Throwable cause) {
-        StringBuilder line = new StringBuilder(what).append(": ").append(cause);
+    /** Logs an unexpected exception on one line, with the first frames of its stack trace to find its cause. */
+    static void log(String message, Throwable cause) {
+        StringBuilder line = new StringBuilder(message).append(": ").append(cause);
         StackTraceElement[] trace = cause.getStackTrace();
         for (int i = 0; i < Math.min(6, trace.length); i++) {
             line.append(" <- ").append(trace[i]);
--- a/src/main/java/eiderscale/net/Discovery.java
+++ b/src/main/java/eiderscale/net/Discovery.java
@@ -94,7 +94,7 @@
     private InetSocketAddress address;
     private final SiteSettings site;
     private final EventLoop loop;
-    private final Dialer dialer;
+    private final Connector dialer;
     private final Counters counters;
     private final Listener listener;
     /** Whether the watch runs from the start, without a subscription from the decision module. */
@@ -118,10 +118,10 @@
         this.address = config.discoveryAddress();
         this.site = config.site();
         this.loop = loop;
-        this.dialer = new Dialer(loop, counters);
+        this.dialer = new Connector(loop, counters);
         this.counters = counters;
         this.listener = listener;
-        this.isAutomatic = !site.settings.subscribe();
+        this.isAutomatic = !site.settings.mustSubscribe();
         this.ready = loop.newPromise();
         this.revision = config.initialCatalog().revision();
     }
@@ -220,16 +220,16 @@
             responseTimeout = loop.schedule(this::onResponseTimeout, pollTimeoutMs + responseGraceMs(),
                     TimeUnit.MILLISECONDS);
             try {
-                ChannelFuture connected = dialer.dial(address, CONNECT_TIMEOUT_MS, new HttpClientCodec(),
+                ChannelFuture connected = dialer.connect(address, CONNECT_TIMEOUT_MS, new HttpClientCodec(),
                         new HttpObjectAggregator(MAX_RESPONSE_BYTES), this);
                 channel = connected.channel();
                 connected.addListener(done -> {
                     if (!done.isSuccess()) {
-                        fail("cannot connect: " + done.cause().getMessage(), Dialer.failedHere(done.cause()));
+                        fail("cannot connect: " + done.cause().getMessage(), Connector.isLocalFailure(done.cause()));
                     }
                 });
-            } catch (NoSocketException e) {
-                counters.noSocket++;
+            } catch (SocketUnavailableException e) {
+                counters.socketFailures++;
                 fail("cannot create a socket: " + e.getMessage(), true);
             }
         }
@@ -323,7 +323,7 @@
             if (!terminate()) {
                 return;
             }
-            counters.discoveryFailure("discovery failed: " + reason + ", " + describe());
+            counters.recordDiscoveryFailure("discovery failed: " + reason + ", " + describe());
             if (isLocalFailure) {
                 startFastRetry();
                 scheduleCall(LOCAL_FAILURE_RETRY_DELAY_MS);
--- a/src/main/java/eiderscale/net/HostPool.java
+++ b/src/main/java/eiderscale/net/HostPool.java
@@ -19,413 +19,453 @@
 import java.util.Set;
 
 /**
- * Connections to cache hosts, each with one request at a time: never more than a site allows, and an
- * attempt that is given up then costs no other request its connection. Nothing is ever sent again here.
+ * The connection pool to all cache hosts. Idle connections are reused in LIFO order per host, and evicted in LRU
+ * order over all hosts when the pool is full.
+ *
+ * <p>A connection has at most one request in flight. This is never more than a site allows
+ * ({@code ceilings.multiplex}), and abandoning an attempt then closes a connection that no other request uses. The
+ * pool never sends an attempt a second time. All methods must be called on the event loop.
  */
 final class HostPool {
-    /** Hears how attempts end, but for those that it abandoned itself. */
-    interface Listener {
-        void onAnswer(Attempt attempt, Reason reason, MetaFrame answer);
+    /** Receives the result of each attempt, except of those ended by {@link HostPool#abandon}. */
+    interface AttemptListener {
+        /** {@code answer}: what the host answered, null if there is none. */
+        void onAttemptEnded(Attempt attempt, Reason reason, MetaFrame answer);
     }
 
-    /** Least part of the hosts' idle time for which a connection is kept, where that time is short. */
-    private static final double IDLE_PART = 0.6;
-    /** Taken off the drain grace: reading the list and writing an attempt may each be held up for half of it. */
-    private static final long GRACE_MARGIN = 300 * Clock.MILLISECOND;
+    /** Lower bound of the idle timeout, as a fraction of the hosts' idle timeout; applies where that is short. */
+    private static final double MIN_IDLE_TIMEOUT_FRACTION = 0.6;
+    /** Subtracted from the drain grace: reading the host list and writing an attempt may each take half of this. */
+    private static final long DRAIN_MARGIN_NS = 300 * Clock.MILLISECOND;
     /**
-     * For so long a second answer may be on its way to a connection that had one. A stray "busy" names no
-     * request: it would pass for the next one's, and that as never run.
+     * How long after an answer a second, unsolicited one may still arrive on the same connection.
+     * {@code SERVER_ERROR busy} carries no opaque, so an unsolicited one would be taken for the answer to the next
+     * request on the connection, and that request would be reported as never run.
      */
-    private static final long STRAY = 100 * Clock.MILLISECOND;
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long UNSOLICITED_ANSWER_WINDOW_NS = 100 * Clock.MILLISECOND;
+    private static final long NO_DEADLINE = Long.MAX_VALUE;
 
-    /** A cache host and what of it is free. */
+    /** A cache host and its connections. */
     private static final class Host {
         InetSocketAddress endpoint;
+        /** Start time as given by discovery, in nanoseconds on {@link Clock}. */
         long startedAt;
-        /** Goes up with each new endpoint or start: connections from before lead elsewhere, or nowhere. */
+        /** Incremented when the endpoint or start time changes: older connections lead to another or no process. */
         int generation;
-        boolean gone;
-        /** No send may start from then on. */
-        long sendUntil = NEVER;
-        int links;
-        final Deque<Link> idle = new ArrayDeque<>();
+        /** Whether discovery lists the host as gone or no longer lists it. */
+        boolean isGone;
+        /** From this instant on no attempt is written to the host; {@link #NO_DEADLINE} while it is ready. */
+        long sendDeadline = NO_DEADLINE;
+        /** Connections that hold a slot: open, being opened, or closing. */
+        int connectionCount;
+        /** Least recently used first. */
+        final Deque<PooledConnection> idleConnections = new ArrayDeque<>();
     }
 
     private final SiteSettings site;
     private final Counters counters;
-    private final int mostLinks;
+    private final int maxConnections;
     /**
-     * How long a connection may stand idle. Its host closes it by its own clock, a way there and back earlier
-     * at most: a request that crossed the close would end as a reset, which a write cannot repeat. Kept any
-     * shorter, it is gone when a balancer with few requests meets the host again.
+     * How long a connection may be idle before it is closed. A host applies its idle timeout by its own clock, and so
+     * may close the connection up to a round trip before it expires here; the connect timeout stands for that round
+     * trip. A request that is sent while the host closes the connection ends as a reset, after which a write cannot be
+     * repeated. With a shorter timeout than this, a balancer with few requests would have closed the connection before
+     * its next request to the host.
      */
-    private final long mostIdle;
-    private final Listener listener;
-    private final Dialer dialer;
+    private final long idleTimeoutNs;
+    private final AttemptListener listener;
+    private final Connector connector;
     private final int connectTimeoutMs;
+    /** By server id, as in the host list and the decision module. */
     private final Map<Long, Host> hosts = new HashMap<>();
-    /** All idle connections, the coldest first. */
-    private final Set<Link> idle = new LinkedHashSet<>();
-    private int links;
+    /** The idle connections of all hosts, least recently used first. */
+    private final Set<PooledConnection> allIdleConnections = new LinkedHashSet<>();
+    /** Connections to all hosts that hold a slot; at most {@link #maxConnections}. */
+    private int connectionCount;
 
-    HostPool(SiteSettings site, EventLoop loop, Counters counters, int mostLinks, Listener listener) {
+    HostPool(SiteSettings site, EventLoop loop, Counters counters, int maxConnections, AttemptListener listener) {
         this.site = site;
         this.counters = counters;
-        this.mostLinks = mostLinks;
-        this.mostIdle = Math.max((long) (site.idleTimeoutNs * IDLE_PART), site.idleTimeoutNs - site.connectTimeoutNs);
+        this.maxConnections = maxConnections;
+        this.idleTimeoutNs = Math.max((long) (site.idleTimeoutNs * MIN_IDLE_TIMEOUT_FRACTION),
+                site.idleTimeoutNs - site.connectTimeoutNs);
         this.listener = listener;
-        this.dialer = new Dialer(loop, counters);
+        this.connector = new Connector(loop, counters);
         this.connectTimeoutMs =
                 (int) Math.min(Integer.MAX_VALUE, Math.max(1, site.connectTimeoutNs / Clock.MILLISECOND));
     }
 
-    /** Applies a list before the module sees it, so that every host it may name is known here. */
-    void update(Api.ListMode mode, List<Catalog.Member> members) {
+    /** Applies a host list. Must be called before the decision module gets the list, as it may then name any host. */
+    void applyHostList(Api.ListMode mode, List<Catalog.Member> members) {
         if (mode == Api.ListMode.FAILED) {
             return;
         }
-        long now = Clock.now();
-        Set<Host> unnamed = new LinkedHashSet<>(hosts.values());
+        long nowNs = Clock.now();
+        Set<Host> unlisted = new LinkedHashSet<>(hosts.values());
         for (Catalog.Member member : members) {
             Host host = hosts.computeIfAbsent(member.server().id(), id -> new Host());
-            unnamed.remove(host);
+            unlisted.remove(host);
             if (!member.endpoint().equals(host.endpoint) || member.server().startedAt() != host.startedAt) {
                 host.generation++;
                 host.endpoint = member.endpoint();
                 host.startedAt = member.server().startedAt();
-                closeIdle(host);
+                closeIdleConnections(host);
             }
-            host.gone = member.server().state() == Api.State.GONE;
+            host.isGone = member.server().state() == Api.State.GONE;
             if (member.server().state() == Api.State.READY) {
-                host.sendUntil = NEVER;
+                host.sendDeadline = NO_DEADLINE;
             } else {
-                leave(host, now);
+                startDraining(host, nowNs);
             }
         }
         if (mode != Api.ListMode.DELTA) {
-            for (Host host : unnamed) {
-                host.gone = true;
-                leave(host, now);
+            for (Host host : unlisted) {
+                host.isGone = true;
+                startDraining(host, nowNs);
             }
         }
     }
 
-    private void leave(Host host, long now) {
-        host.sendUntil = Math.min(host.sendUntil, now + Math.max(0, site.settings.drainGrace() - GRACE_MARGIN));
-        closeIdle(host);
+    /** Closes idle connections, and lets attempts be sent only until shortly before the drain grace ends. */
+    private void startDraining(Host host, long nowNs) {
+        host.sendDeadline = Math.min(host.sendDeadline,
+                nowNs + Math.max(0, site.settings.stopSendingWithinNs() - DRAIN_MARGIN_NS));
+        closeIdleConnections(host);
     }
 
-    /** Sends an attempt on the warmest connection, or on a new one where none is free. */
-    void send(Attempt attempt, long server) {
-        Host host = hosts.get(server);
-        if (host == null || Clock.now() >= host.sendUntil) {
-            listener.onAnswer(attempt, Reason.MOOT, null);
+    /**
+     * Sends an attempt on the host's most recently used idle connection, or on a new one if there is none. The attempt
+     * ends as MOOT (not sent) if the host is unknown or drained, or if there is no connection for it.
+     */
+    void send(Attempt attempt, long hostId) {
+        Host host = hosts.get(hostId);
+        if (host == null || Clock.now() >= host.sendDeadline) {
+            listener.onAttemptEnded(attempt, Reason.MOOT, null);
             return;
         }
-        Link link = host.idle.peekLast();
-        while (link != null && !link.usable()) {
-            link.retire();
-            link = host.idle.peekLast();
-        }
-        if (link != null && mustNotRunTwice(attempt)) {
-            link = rested(host);
-        }
-        if (link != null) {
-            link.leaveIdle();
-            link.carry(attempt);
-            link.write();
-        } else if (links >= mostLinks && !evict()) {
-            // No room here is not the host's fault: told as 'not sent', which blames nobody and refuses.
+        PooledConnection connection = host.idleConnections.peekLast();
+        while (connection != null && !connection.isUsable()) {
+            connection.closeAndReleaseSlot();
+            connection = host.idleConnections.peekLast();
+        }
+        if (connection != null && mustNotRunTwice(attempt)) {
+            connection = mostRecentlyUsedPastAnswerWindow(host);
+        }
+        if (connection != null) {
+            connection.removeFromIdle();
+            connection.assign(attempt);
+            connection.writeAttempt();
+        } else if (connectionCount >= maxConnections && !evictLeastRecentlyUsed()) {
+            // A full pool is not the host's fault. MOOT (not sent) counts against no host; the module may then
+            // choose another host or refuse the request.
             counters.localRefusals++;
-            listener.onAnswer(attempt, Reason.MOOT, null);
+            listener.onAttemptEnded(attempt, Reason.MOOT, null);
         } else {
-            new Link(host).connect(attempt);
+            new PooledConnection(host).connect(attempt);
         }
     }
 
+    /** Whether a repeat might take effect again: a fragile request, or one whose repeats only some hosts drop. */
     private boolean mustNotRunTwice(Attempt attempt) {
-        Api.RequestClass requestClass = site.settings.classes().get(attempt.exchange.command.requestClass);
-        return requestClass.effect() == Api.Effect.FRAGILE
-                || requestClass.effect() == Api.Effect.DEDUP && requestClass.group() != Api.Group.ALL;
+        Api.RequestClass requestClass = site.settings.requestClasses().get(attempt.exchange.command.requestClass);
+        return requestClass.effect() == Api.Effect.NON_IDEMPOTENT
+                || requestClass.effect() == Api.Effect.DEDUPLICATED && requestClass.dedupScope() != Api.Group.ALL;
     }
 
-    /** The warmest idle connection on which no stray answer to what it carried before can be expected. */
-    private static Link rested(Host host) {
-        long latest = Clock.now() - STRAY;
-        for (Iterator<Link> warmest = host.idle.descendingIterator(); warmest.hasNext(); ) {
-            Link link = warmest.next();
-            if (link.answeredAt <= latest) {
-                return link.usable() ? link : null;
+    /**
+     * The most recently used idle connection that has had no answer within {@link #UNSOLICITED_ANSWER_WINDOW_NS}, so
+     * that no unsolicited answer is expected on it; null if there is none or it is not usable any more.
+     */
+    private static PooledConnection mostRecentlyUsedPastAnswerWindow(Host host) {
+        long windowStartAt = Clock.now() - UNSOLICITED_ANSWER_WINDOW_NS;
+        for (Iterator<PooledConnection> mostRecentFirst = host.idleConnections.descendingIterator();
+                mostRecentFirst.hasNext(); ) {
+            PooledConnection connection = mostRecentFirst.next();
+            if (connection.lastAnswerAt <= windowStartAt) {
+                return connection.isUsable() ? connection : null;
             }
         }
         return null;
     }
 
-    /** Ends the wait for an attempt. One that was written costs its connection, as its answer may still come. */
+    /**
+     * Ends an attempt without reporting it. If its write has begun, its connection is closed, as the answer may still
+     * arrive; a connection that is still being opened stays in the pool.
+     */
     void abandon(Attempt attempt) {
-        Link link = attempt.connection;
-        if (link != null) {
-            link.release();
-            if (link.sent != null) {
-                link.close();
+        PooledConnection connection = attempt.connection;
+        if (connection != null) {
+            connection.unassign();
+            if (connection.writeFuture != null) {
+                connection.close();
             }
         }
     }
 
-    void closeIdle(long server) {
-        Host host = hosts.get(server);
+    void closeIdleConnections(long hostId) {
+        Host host = hosts.get(hostId);
         if (host != null) {
-            closeIdle(host);
+            closeIdleConnections(host);
         }
     }
 
-    private static void closeIdle(Host host) {
-        for (Link link : List.copyOf(host.idle)) {
-            link.retire();
+    private static void closeIdleConnections(Host host) {
+        for (PooledConnection connection : List.copyOf(host.idleConnections)) {
+            connection.closeAndReleaseSlot();
         }
     }
 
-    private boolean evict() {
-        Iterator<Link> coldest = idle.iterator();
-        if (!coldest.hasNext()) {
+    /** Closes the least recently used idle connection to make room; false if no connection is idle. */
+    private boolean evictLeastRecentlyUsed() {
+        Iterator<PooledConnection> leastRecentFirst = allIdleConnections.iterator();
+        if (!leastRecentFirst.hasNext()) {
             return false;
         }
-        coldest.next().retire();
+        leastRecentFirst.next().closeAndReleaseSlot();
         return true;
     }
 
-    /** Retires connections that their hosts may close, and forgets hosts that are gone. */
-    void sweep() {
-        for (Link link : List.copyOf(idle)) {
-            if (link.usable()) {
+    /** Closes connections that have reached the idle timeout, and removes hosts that are gone. Called periodically. */
+    void evictExpired() {
+        for (PooledConnection connection : List.copyOf(allIdleConnections)) {
+            if (connection.isUsable()) {
                 break;
             }
-            link.retire();
+            connection.closeAndReleaseSlot();
         }
-        hosts.values().removeIf(host -> host.gone && host.links == 0);
+        hosts.values().removeIf(host -> host.isGone && host.connectionCount == 0);
     }
 
     String gauges() {
-        return "hosts " + hosts.size() + " links " + links + " idle " + idle.size();
+        return "hosts " + hosts.size() + " links " + connectionCount + " idle " + allIdleConnections.size();
     }
 
     /**
-     * A connection's states. {@code SETTLING}: its attempt was answered, but the read that brought the answer is
-     * not over, and may bring more than was asked for.
+     * The states of a connection. {@code AWAITING_ANSWER}: an attempt is being written or has been.
+     * {@code FINISHING_READ}: its attempt was answered, but the read that delivered the answer is not complete and may
+     * deliver bytes beyond it.
      */
-    private enum State { CONNECTING, CARRYING, SETTLING, IDLE, CLOSED }
+    private enum State { CONNECTING, AWAITING_ANSWER, FINISHING_READ, IDLE, CLOSED }
 
-    /** One connection to a host. */
-    final class Link extends SimpleChannelInboundHandler<MetaFrame> {
+    /** One connection to a host; also the last handler of its channel's pipeline. */
+    final class PooledConnection extends SimpleChannelInboundHandler<MetaFrame> {
         private final Host host;
         private final int generation;
         private final MetaDecoder decoder = MetaDecoder.forResponses();
         private State state = State.CONNECTING;
         private Channel channel;
-        /** What it carries, or will once it is up. */
+        /** The attempt in flight, or the one to write when the connection is up; null if there is none. */
         private Attempt attempt;
-        /** The write of the present attempt; done when its last byte has left. */
-        private ChannelFuture sent;
-        private long idleSince;
-        /** When the last answer came; 0 if none ever did. */
-        private long answeredAt;
-        private boolean counted;
-
-        private Link(Host host) {
+        /** The write of {@link #attempt}, null before; completes when its last byte has been passed to the kernel. */
+        private ChannelFuture writeFuture;
+        /** When the connection last became idle; 0 if it never was. */
+        private long idleAt;
+        /** When the last answer arrived; 0 if none has. */
+        private long lastAnswerAt;
+        /** Whether the connection holds a slot, that is, counts towards {@link HostPool#maxConnections}. */
+        private boolean holdsSlot;
+
+        private PooledConnection(Host host) {
             this.host = host;
             this.generation = host.generation;
         }
 
-        private void connect(Attempt first) {
-            carry(first);
-            counters.connects++;
-            counted = true;
-            links++;
-            host.links++;
+        private void connect(Attempt firstAttempt) {
+            assign(firstAttempt);
+            counters.connectionsStarted++;
+            holdsSlot = true;
+            connectionCount++;
+            host.connectionCount++;
             try {
-                ChannelFuture connected = dialer.dial(host.endpoint, connectTimeoutMs, decoder, this);
+                ChannelFuture connected = connector.connect(host.endpoint, connectTimeoutMs, decoder, this);
                 channel = connected.channel();
                 connected.addListener(done -> {
                     if (!done.isSuccess()) {
-                        lost(Dialer.tellsNothingOfPeer(done.cause()) ? Reason.MOOT : Reason.CONNECT_FAILED);
+                        onClosed(Connector.isUnrelatedToPeer(done.cause()) ? Reason.MOOT : Reason.CONNECT_FAILED);
                     }
                 });
-            } catch (NoSocketException e) {
-                // As for want of room here: told as 'not sent', which blames no host.
-                counters.noSocket++;
+            } catch (SocketUnavailableException e) {
+                // MOOT (not sent) as for a full pool: counts against no host.
+                counters.socketFailures++;
                 state = State.CLOSED;
-                uncount();
-                release();
-                listener.onAnswer(first, Reason.MOOT, null);
+                releaseSlot();
+                unassign();
+                listener.onAttemptEnded(firstAttempt, Reason.MOOT, null);
             }
         }
 
-        private void carry(Attempt next) {
-            attempt = next;
-            next.connection = this;
+        private void assign(Attempt newAttempt) {
+            attempt = newAttempt;
+            newAttempt.connection = this;
         }
 
-        private void release() {
+        private void unassign() {
             attempt.connection = null;
             attempt = null;
         }
 
-        boolean written() {
-            return sent != null && sent.isSuccess();
+        /** Whether the attempt's last byte has been passed to the kernel: from then on it may run. */
+        boolean isWritten() {
+            return writeFuture != null && writeFuture.isSuccess();
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             if (attempt == null) {
-                // Withdrawn or cut while the connection came up: nothing is written, the connection is kept.
-                goIdle();
+                // The attempt was abandoned while the connection was being opened. The connection is kept.
+                returnToPool();
             } else {
-                write();
+                writeAttempt();
             }
         }
 
-        private void write() {
-            long now = Clock.now();
-            if (now >= host.sendUntil || generation != host.generation) {
-                // The drain grace ran out, or the host moved or started anew, while the connection came up.
-                finish(Reason.CONNECT_FAILED, null, true);
+        private void writeAttempt() {
+            long nowNs = Clock.now();
+            if (nowNs >= host.sendDeadline || generation != host.generation) {
+                // The drain grace ended, or the host moved or restarted, while the connection was being opened.
+                finishAttempt(Reason.CONNECT_FAILED, null, true);
                 return;
             }
-            state = State.CARRYING;
-            long leftMs = Math.max(1, (attempt.deadline - now) / Clock.MILLISECOND);
-            ByteBuf bytes = attempt.exchange.command.encode(channel.alloc(), leftMs);
-            counters.way(now - attempt.sentAt);
-            sent = channel.writeAndFlush(bytes);
+            state = State.AWAITING_ANSWER;
+            long remainingWaitMs = Math.max(1, (attempt.deadline - nowNs) / Clock.MILLISECOND);
+            ByteBuf bytes = attempt.exchange.command.encode(channel.alloc(), remainingWaitMs);
+            counters.recordSendDelay(nowNs - attempt.sentAt);
+            writeFuture = channel.writeAndFlush(bytes);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaFrame answer) {
-            if (state != State.CARRYING || attempt == null) {
-                // Nobody asked: what follows on this connection cannot be told apart any more.
+            if (state != State.AWAITING_ANSWER || attempt == null) {
+                // An unsolicited answer: later answers on this connection cannot be matched to requests any more.
                 close();
                 return;
             }
-            Reason reason = judge(attempt.exchange.command, answer);
-            boolean garbage = reason == null;
-            if (garbage) {
-                Counters.log("a cache host broke the protocol: "
+            Reason reason = classify(attempt.exchange.command, answer);
+            boolean isProtocolError = reason == null;
+            if (isProtocolError) {
+                Counters.log("protocol error in a cache host's answer: "
                         + (answer.protocolError() != null ? answer.protocolError() : answer.tokens()));
             }
-            if (reason == Reason.REJECTED && answeredAt == 0) {
-                // A host with no place for the connection says so to its first request and closes it. The connection
-                // did not come up, for all that it could carry; whether the host is busy it has not told.
-                counters.noPlace++;
-                finish(Reason.CONNECT_FAILED, answer, true);
+            if (reason == Reason.REJECTED && lastAnswerAt == 0) {
+                // A host that is at its connection limit answers the first request on a new connection with
+                // "busy" and closes it. That counts as a failed connect: it does not tell that the host is overloaded.
+                counters.connectionsRejectedByHost++;
+                finishAttempt(Reason.CONNECT_FAILED, answer, true);
             } else {
-                finish(garbage ? Reason.ERROR : reason, answer, garbage || !written());
+                finishAttempt(isProtocolError ? Reason.ERROR : reason, answer, isProtocolError || !isWritten());
             }
         }
 
-        /** What an answer means; null for what the protocol does not allow. */
-        private static Reason judge(Command command, MetaFrame answer) {
+        /** The result that an answer stands for; null if it violates the protocol or does not match the command. */
+        private static Reason classify(Command command, MetaFrame answer) {
             if (answer.protocolError() != null) {
                 return null;
             }
             if (answer.tokenIs(0, "SERVER_ERROR")) {
                 return answer.tokenIs(1, "busy") ? Reason.REJECTED : answer.tokenIs(1, "failed") ? Reason.ERROR : null;
             }
-            int flags = answer.tokenIs(0, "VA") ? 2 : 1;
-            boolean kind = command.isWrite ? answer.tokenIs(0, "HD") && answer.flagValue(flags, 'c') != null
+            int wordsBeforeFlags = answer.tokenIs(0, "VA") ? 2 : 1;
+            boolean hasExpectedForm = command.isWrite
+                    ? answer.tokenIs(0, "HD") && answer.flagValue(wordsBeforeFlags, 'c') != null
                     : answer.tokenIs(0, "VA");
-            return kind && command.opaque.equals(answer.flagValue(flags, 'O')) ? Reason.OK : null;
+            return hasExpectedForm && command.opaque.equals(answer.flagValue(wordsBeforeFlags, 'O')) ? Reason.OK : null;
         }
 
-        private void finish(Reason reason, MetaFrame answer, boolean close) {
+        /** Ends the attempt with an answer, or with null if none arrived, and closes the connection if told to. */
+        private void finishAttempt(Reason reason, MetaFrame answer, boolean closeConnection) {
             Attempt ended = attempt;
-            release();
-            sent = null;
-            if (close) {
+            unassign();
+            writeFuture = null;
+            if (closeConnection) {
                 close();
             } else {
-                state = State.SETTLING;
-                answeredAt = Clock.now();
+                state = State.FINISHING_READ;
+                lastAnswerAt = Clock.now();
             }
-            listener.onAnswer(ended, reason, answer);
+            listener.onAttemptEnded(ended, reason, answer);
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (state == State.SETTLING && !decoder.isInsideFrame()) {
-                goIdle();
-            } else if (state == State.SETTLING || state == State.IDLE && decoder.isInsideFrame()) {
-                // The beginning of a second answer, whose rest would be taken for the next one's.
+            if (state == State.FINISHING_READ && !decoder.isInsideFrame()) {
+                returnToPool();
+            } else if (state == State.FINISHING_READ || state == State.IDLE && decoder.isInsideFrame()) {
+                // Part of an unsolicited answer, whose rest would be taken for the answer to the next request.
                 close();
             }
         }
 
-        private void goIdle() {
-            if (host.sendUntil != NEVER || generation != host.generation || !channel.isActive()) {
+        /** Makes the connection idle, or closes it if its host drains, moved or restarted. */
+        private void returnToPool() {
+            if (host.sendDeadline != NO_DEADLINE || generation != host.generation || !channel.isActive()) {
                 close();
                 return;
             }
             state = State.IDLE;
-            idleSince = Clock.now();
-            host.idle.addLast(this);
-            idle.add(this);
+            idleAt = Clock.now();
+            host.idleConnections.addLast(this);
+            allIdleConnections.add(this);
         }
 
-        private void leaveIdle() {
-            host.idle.remove(this);
-            idle.remove(this);
+        private void removeFromIdle() {
+            host.idleConnections.remove(this);
+            allIdleConnections.remove(this);
         }
 
-        /** Whether an idle connection may carry another request. */
-        private boolean usable() {
-            return channel.isActive() && Clock.now() - idleSince < mostIdle;
+        /** Whether an idle connection may be reused: it is open and has not reached the idle timeout. */
+        private boolean isUsable() {
+            return channel.isActive() && Clock.now() - idleAt < idleTimeoutNs;
         }
 
-        private void retire() {
-            uncount();
+        /** Closes an idle connection. Its slot is free at once, not only when the channel has been closed. */
+        private void closeAndReleaseSlot() {
+            releaseSlot();
             close();
         }
 
+        /** Starts to close the connection; {@link #channelInactive} then frees its slot. */
         private void close() {
-            leaveIdle();
+            removeFromIdle();
             state = State.CLOSED;
             channel.close();
         }
 
-        /** Gives its place free once, as soon as its end is sure. */
-        private void uncount() {
-            if (counted) {
-                counted = false;
-                links--;
-                host.links--;
+        /** Frees the connection's slot, the first time only; called as soon as the connection is certain to end. */
+        private void releaseSlot() {
+            if (holdsSlot) {
+                holdsSlot = false;
+                connectionCount--;
+                host.connectionCount--;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            // Before its last byte has left a request cannot run; after that it may have.
-            lost(written() ? Reason.RESET : Reason.CONNECT_FAILED);
+            // A request cannot run before its last byte has been written; after that it may have run.
+            onClosed(isWritten() ? Reason.RESET : Reason.CONNECT_FAILED);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                Counters.log("on a connection to a cache host", cause);
+                Counters.log("unexpected exception on a cache host connection", cause);
             }
             ctx.close();
         }
 
-        private void lost(Reason reason) {
+        /** The connection could not be opened, or was closed: ends the attempt on it, if any, for this reason. */
+        private void onClosed(Reason reason) {
             state = State.CLOSED;
-            leaveIdle();
-            uncount();
+            removeFromIdle();
+            releaseSlot();
             if (attempt != null) {
-                if (idleSince > 0) {
-                    counters.staleReset(attempt.sentAt - idleSince);
+                if (idleAt > 0) {
+                    counters.recordStaleReset(attempt.sentAt - idleAt);
                 }
                 Attempt ended = attempt;
-                release();
-                listener.onAnswer(ended, reason, null);
+                unassign();
+                listener.onAttemptEnded(ended, reason, null);
             }
         }
     }
--- a/src/main/java/eiderscale/net/LogLine.java
+++ b/src/main/java/eiderscale/net/MetricsLine.java
@@ -2,35 +2,36 @@
 
 import java.util.Locale;
 
-/** A line of named figures in groups, as counters are logged. */
-final class LogLine {
+/** Builds the periodic metrics line: named figures, in groups that are separated by {@code |}. */
+final class MetricsLine {
     private final StringBuilder text = new StringBuilder();
 
-    LogLine count(String name, long count) {
+    MetricsLine count(String name, long count) {
         text.append(name).append(' ').append(count).append(' ');
         return this;
     }
 
-    /** Writes a span, given in nanoseconds, in milliseconds. */
-    LogLine ms(String name, double nanos) {
+    /** Appends a duration, given in nanoseconds, as milliseconds. */
+    MetricsLine millis(String name, double nanos) {
         text.append(String.format(Locale.ROOT, "%s %.1f ms ", name, nanos / Clock.MILLISECOND));
         return this;
     }
 
-    /** Writes how many of a kind failed. */
-    LogLine part(String name, long failed, long all) {
-        text.append(name).append(' ').append(failed).append('/').append(all).append(' ');
+    /** Appends {@code failed/total}. */
+    MetricsLine ratio(String name, long failed, long total) {
+        text.append(name).append(' ').append(failed).append('/').append(total).append(' ');
         return this;
     }
 
     /** Ends a group of figures. */
-    LogLine group() {
+    MetricsLine endGroup() {
         text.append("| ");
         return this;
     }
 
-    LogLine words(String words) {
-        text.append(words);
+    /** Appends text that is formatted already. */
+    MetricsLine append(String formatted) {
+        text.append(formatted);
         return this;
     }
 
--- a/src/main/java/eiderscale/net/Node.java
+++ b/src/main/java/eiderscale/net/Node.java
@@ -35,7 +35,7 @@
     private int sweepCount;
 
     /** Must be called on the event loop, like all methods of this class. */
-    Node(Config config, EventLoop loop, Balancer.Module module) {
+    Node(Config config, EventLoop loop, Balancer.ModuleFactory module) {
         this.config = config;
         this.loop = loop;
         int availableSockets = config.maxSockets() - Math.min(RESERVED_DESCRIPTORS, config.maxSockets() / 4);
@@ -47,7 +47,7 @@
 
     /** Completes once requests may be served with the current list of hosts; the program should not listen earlier. */
     Future<Void> ready() {
-        return balancer.informed();
+        return balancer.hostListReady();
     }
 
     /** Starts listening for clients. May be called again if it failed. */
@@ -62,8 +62,8 @@
     /** Periodic work: closes idle connections, and logs the counters regularly and after trouble. */
     private void sweep() {
         try {
-            balancer.sweep();
-            if (counters.troubled() | ++sweepCount % SWEEPS_PER_LOG_LINE == 0) {
+            balancer.evictExpiredConnections();
+            if (counters.hasNewProblems() | ++sweepCount % SWEEPS_PER_LOG_LINE == 0) {
                 logCounters();
             }
         } catch (RuntimeException e) {
@@ -73,7 +73,7 @@
     }
 
     private void logCounters() {
-        counters.print(gauges());
+        counters.printMetrics(gauges());
     }
 
     String gauges() {
@@ -87,7 +87,7 @@
 
     /** Applies a new configuration. Only discovery's address takes effect; the rest cannot change at run time. */
     void reload(Config newConfig) {
-        balancer.discoveryAt(newConfig.discoveryAddress());
+        balancer.setDiscoveryAddress(newConfig.discoveryAddress());
     }
 
     /**
@@ -97,8 +97,8 @@
      */
     Future<Void> stop() {
         Promise<Void> done = loop.newPromise();
-        long longestDeadlineNs = config.site().settings.classes().stream().mapToLong(Api.RequestClass::deadline).max()
-                .orElse(0);
+        long longestDeadlineNs = config.site().settings.requestClasses().stream()
+                .mapToLong(Api.RequestClass::timeoutNs).max().orElse(0);
         long drainDeadline = Clock.now() + ACCEPT_GRACE_PERIOD_MS * Clock.MILLISECOND
                 + Math.min(longestDeadlineNs, MAX_DRAIN_NS);
         loop.schedule(() -> {
@@ -118,7 +118,7 @@
             answerOpenRequests();
         }
         // After the flush timeout only clients that do not read their answers can be left.
-        if (server.isTerminated() && balancer.open() == 0 || now >= drainDeadline + FINAL_FLUSH_TIMEOUT_NS) {
+        if (server.isTerminated() && balancer.openRequests() == 0 || now >= drainDeadline + FINAL_FLUSH_TIMEOUT_NS) {
             logCounters();
             done.setSuccess(null);
         } else {
@@ -128,7 +128,7 @@
 
     private void answerOpenRequests() {
         try {
-            balancer.settleAll();
+            balancer.answerAllWithoutModule();
         } catch (RuntimeException e) {
             Counters.log("unexpected exception", e);
         }
--- /dev/null
+++ b/src/main/java/eiderscale/net/RateLimitedLog.java
@@ -0,0 +1,25 @@
+package eiderscale.net;
+
+/**
+ * A rate-limited log: at most one line per 250 ms, for events that may come in large numbers. A line states how many
+ * were suppressed before it.
+ */
+final class RateLimitedLog {
+    private static final long MIN_INTERVAL_NS = 250 * Clock.MILLISECOND;
+    private boolean hasLogged;
+    /** When the last line was logged; valid once {@link #hasLogged}. */
+    private long lastAt;
+    private long suppressedLines;
+
+    void log(String line) {
+        long nowNs = Clock.now();
+        if (hasLogged && nowNs - lastAt < MIN_INTERVAL_NS) {
+            suppressedLines++;
+            return;
+        }
+        Counters.log(suppressedLines == 0 ? line : line + " (" + suppressedLines + " similar lines suppressed before)");
+        hasLogged = true;
+        lastAt = nowNs;
+        suppressedLines = 0;
+    }
+}
--- a/src/main/java/eiderscale/net/RetryingSocketChannel.java
+++ b/src/main/java/eiderscale/net/RetryingSocketChannel.java
@@ -95,7 +95,7 @@
      * fails too.
      */
     private int retryFailedRead(ByteBuf buffer, IOException failure) throws Exception {
-        counters.failedCall("read", failure);
+        counters.recordIoFailure("read", failure);
         int read;
         try {
             read = readRetryingInterrupts(buffer);
@@ -154,7 +154,7 @@
             if (Clock.now() - writesFailingSince >= retryTimeouts.writeNs) {
                 throw e;
             }
-            counters.failedCall("write", e);
+            counters.recordIoFailure("write", e);
             scheduleWriteRetry();
         }
     }
--- a/src/main/java/eiderscale/net/SiteSettings.java
+++ b/src/main/java/eiderscale/net/SiteSettings.java
@@ -40,7 +40,7 @@
         } catch (RuntimeException e) {
             throw new ConfigException(e.getMessage());
         }
-        if (settings.classes().isEmpty()) {
+        if (settings.requestClasses().isEmpty()) {
             throw new ConfigException("the settings define no request class");
         }
         connectTimeoutNs = longSetting(settingLines, "ceilings.connect-timeout-ns", 250 * Clock.MILLISECOND);
--- a/src/main/java/eiderscale/sim/Adapter.java
+++ b/src/main/java/eiderscale/sim/Adapter.java
@@ -107,9 +107,9 @@
         Router router = instance.router();
         switch (code) {
             case 1 -> router.onTimer(now, frame.getInt(at + 5));
-            case 2 -> router.onOutcome(now, outcome(at));
+            case 2 -> router.onAttemptOutcome(now, outcome(at));
             case 3 -> instances.remove(balancer);
-            case 6 -> router.onList(now, mode(at), entries(at));
+            case 6 -> router.onServerList(now, mode(at), entries(at));
             case 8 -> router.onFirstByte(now, frame.getLong(at + 5), unsignedShort(at + 13));
             case 9 -> router.onClientGone(now, frame.getLong(at + 5));
             case 10 -> router.onRequest(now, request(at, instance.classes()));
@@ -123,11 +123,11 @@
         int[] range = tailRange(at + 13, 1);
         String text = new String(frame.array(), range[0], range[1], StandardCharsets.UTF_8);
         Api.Settings settings = SettingsParser.parse(text);
-        if (settings.classes().isEmpty()) {
+        if (settings.requestClasses().isEmpty()) {
             throw new WireException("settings of balancer " + balancer + " name no request class");
         }
         Router router = new Router(settings, frame.getLong(at + 5), reply.of(balancer));
-        instances.put(balancer, new Instance(router, settings.classes().size()));
+        instances.put(balancer, new Instance(router, settings.requestClasses().size()));
     }
 
     private void list(int at) {
@@ -185,7 +185,7 @@
                 (attrs & ATTR_WRITE) != 0);
     }
 
-    private Api.Outcome outcome(int at) {
+    private Api.AttemptOutcome outcome(int at) {
         int code = unsignedShort(at + 21);
         Api.Reason reason = switch (code) {
             case 200 -> Api.Reason.OK;
@@ -204,7 +204,7 @@
         for (int i = 0; i < n; i++) {
             report[i] = frame.getFloat(at + 37 + 4 * i);
         }
-        return new Api.Outcome(frame.getLong(at + 5), unsignedShort(at + 13), reason, frame.getLong(at + 23),
+        return new Api.AttemptOutcome(frame.getLong(at + 5), unsignedShort(at + 13), reason, frame.getLong(at + 23),
                 frame.get(at + 31) != 0, report);
     }
 
--- a/src/main/java/eiderscale/sim/ReplyWriter.java
+++ b/src/main/java/eiderscale/sim/ReplyWriter.java
@@ -81,14 +81,14 @@
             }
 
             @Override
-            public void wakeAt(long moment, int token) {
+            public void scheduleTimer(long moment, int token) {
                 int at = record(WAKE, balancer);
                 buffer.putLong(at + 5, moment);
                 buffer.putInt(at + 13, token);
             }
 
             @Override
-            public void closeIdle(long server) {
+            public void closeIdleConnections(long server) {
                 int at = record(CLOSE_IDLE, balancer);
                 buffer.putInt(at + 5, (int) server);
                 buffer.putShort(at + 9, (short) (server >>> 32));
--- a/src/main/java/eiderscale/sim/SettingsParser.java
+++ b/src/main/java/eiderscale/sim/SettingsParser.java
@@ -64,15 +64,15 @@
                 real("guarantees.tip-multiple", DEFAULT_TIP),
                 Math.max(1, whole("guarantees.fall-ns", SECOND)), real("over-share-worth", 1),
                 whole("guarantees.key-quiet-ns", DEFAULT_QUIET), budget(),
-                new Api.ReportLayout(fields.indexOf("rif"), fields.indexOf("q"), fields.indexOf("busy")));
+                new Api.LoadReportLayout(fields.indexOf("rif"), fields.indexOf("q"), fields.indexOf("busy")));
     }
 
     private Api.RequestClass requestClass(String at) {
         long deadline = whole(at + "deadline-ns", DEFAULT_DEADLINE);
         Api.Effect effect = switch (text(at + "effect", "fragile")) {
-            case "retryable" -> Api.Effect.RETRYABLE;
-            case "dedup" -> Api.Effect.DEDUP;
-            default -> Api.Effect.FRAGILE;
+            case "retryable" -> Api.Effect.IDEMPOTENT;
+            case "dedup" -> Api.Effect.DEDUPLICATED;
+            default -> Api.Effect.NON_IDEMPOTENT;
         };
         Api.Group group = switch (text(at + "group", "cell").toLowerCase(Locale.ROOT)) {
             case "all" -> Api.Group.ALL;
@@ -87,11 +87,11 @@
     }
 
     /** There is a budget as soon as one of its settings is named; what is left out of it allows nothing. */
-    private Api.Budget budget() {
+    private Api.RetryBudget budget() {
         boolean stated = values.containsKey("guarantees.budget-free")
                 || values.containsKey("guarantees.repeat-ratio")
                 || values.containsKey("guarantees.resend-span-ns");
-        return stated ? new Api.Budget(real("guarantees.budget-free", 0), real("guarantees.repeat-ratio", 0),
+        return stated ? new Api.RetryBudget(real("guarantees.budget-free", 0), real("guarantees.repeat-ratio", 0),
                 whole("guarantees.resend-span-ns", DEFAULT_SPAN)) : null;
     }
 
--- a/src/test/java/eiderscale/Bed.java
+++ b/src/test/java/eiderscale/Bed.java
@@ -63,12 +63,12 @@
     }
 
     @Override
-    public void wakeAt(long moment, int token) {
+    public void scheduleTimer(long moment, int token) {
         wakes.add(new Wake(moment, token));
     }
 
     @Override
-    public void closeIdle(long server) {
+    public void closeIdleConnections(long server) {
         closed.add(server);
     }
 
@@ -114,12 +114,12 @@
     }
 
     Bed list(List<Api.Server> servers) {
-        router.onList(now, Api.ListMode.FULL, servers);
+        router.onServerList(now, Api.ListMode.FULL, servers);
         return this;
     }
 
     Bed delta(Api.Server... servers) {
-        router.onList(now, Api.ListMode.DELTA, List.of(servers));
+        router.onServerList(now, Api.ListMode.DELTA, List.of(servers));
         return this;
     }
 
@@ -129,7 +129,7 @@
 
     Sent request(long id, int requestClass, long key, int tenant, boolean repeat) {
         int before = sends.size();
-        long deadline = now + settings.classes().get(requestClass).deadline() / 2;
+        long deadline = now + settings.requestClasses().get(requestClass).timeoutNs() / 2;
         router.onRequest(now, new Api.Request(id, requestClass, tenant, key, deadline, 0, repeat,
                 requestClass != READ));
         return sends.size() > before ? sends.get(before) : null;
@@ -138,7 +138,7 @@
     /** Reports an end; returns the send that it caused, if any. */
     Sent outcome(long id, int attempt, Api.Reason reason) {
         int before = sends.size();
-        router.onOutcome(now, new Api.Outcome(id, attempt, reason, 0, reason == Api.Reason.OK, new float[0]));
+        router.onAttemptOutcome(now, new Api.AttemptOutcome(id, attempt, reason, 0, reason == Api.Reason.OK, new float[0]));
         return sends.size() > before ? sends.get(before) : null;
     }
 
@@ -214,20 +214,20 @@
         List<Api.Tenant> tenants = List.of();
         double overShareWorth = 1;
         boolean ordered;
-        Api.Budget budget;
+        Api.RetryBudget budget;
 
         Api.Settings build() {
             List<Api.RequestClass> classes = List.of(
-                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 3, lateWorth, Api.Effect.RETRYABLE,
+                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 3, lateWorth, Api.Effect.IDEMPOTENT,
                             Api.Group.ALL, 0, false, false),
-                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 9, lateWorth, Api.Effect.DEDUP, group,
+                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 9, lateWorth, Api.Effect.DEDUPLICATED, group,
                             500 * MS, false, ordered),
-                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 5, lateWorth, Api.Effect.FRAGILE,
+                    new Api.RequestClass(1000 * MS, 0, 4000 * MS, 5, lateWorth, Api.Effect.NON_IDEMPOTENT,
                             Api.Group.CELL, 0, false, false));
             return new Api.Settings(classes, tenants, 0, rank, instances, aside, aside ? 2 : -1, subscribe,
                     maxAttempts, mayDuplicate, true, true, 2000 * MS, 250 * MS, 10_000 * MS,
                     0.2, 10_000 * MS, 4, 1000 * MS, overShareWorth,
-                    50 * MS, budget, new Api.ReportLayout(-1, -1, -1));
+                    50 * MS, budget, new Api.LoadReportLayout(-1, -1, -1));
         }
     }
 }
--- a/src/test/java/eiderscale/EmbeddingExample.java
+++ b/src/test/java/eiderscale/EmbeddingExample.java
@@ -31,11 +31,11 @@
             }
 
             @Override
-            public void wakeAt(long moment, int token) {
+            public void scheduleTimer(long moment, int token) {
             }
 
             @Override
-            public void closeIdle(long server) {
+            public void closeIdleConnections(long server) {
             }
 
             @Override
@@ -44,18 +44,18 @@
         };
         long ms = 1_000_000L;
         Api.RequestClass read = new Api.RequestClass(300 * ms, 0, 600 * ms, 1, 0,
-                Api.Effect.RETRYABLE, Api.Group.ALL, 0, false, false);
+                Api.Effect.IDEMPOTENT, Api.Group.ALL, 0, false, false);
         Api.Settings settings = new Api.Settings(List.of(read), List.of(), 0, 0, 1, false, -1, false, 3, true,
                 true, false, 0, 250 * ms, 10_000 * ms, 0.2, 20_000 * ms, 4, 1_000 * ms, 1,
-                0, null, new Api.ReportLayout(-1, -1, -1));
+                0, null, new Api.LoadReportLayout(-1, -1, -1));
         Router router = new Router(settings, 42, actions);
         long now = 1_000 * ms;
-        router.onList(now, Api.ListMode.FULL, List.of(
+        router.onServerList(now, Api.ListMode.FULL, List.of(
                 new Api.Server(1, 0, 0, 0, Api.State.READY, 1, 0),
                 new Api.Server(2, 0, 0, 0, Api.State.READY, 1, 0)));
         router.onRequest(now, new Api.Request(7, 0, 0, 99, now + 600 * ms, 0, false, false));
         now += 20 * ms;
-        router.onOutcome(now, new Api.Outcome(7, 0, Api.Reason.OK, 20 * ms, true, new float[0]));
+        router.onAttemptOutcome(now, new Api.AttemptOutcome(7, 0, Api.Reason.OK, 20 * ms, true, new float[0]));
         return sentTo.remove();
     }
 }
--- a/src/test/java/eiderscale/FailuresFoundTest.java
+++ b/src/test/java/eiderscale/FailuresFoundTest.java
@@ -89,7 +89,7 @@
         builder.instances = 14;
         builder.rank = 13;
         Bed bed = new Bed(builder);
-        bed.router.onList(bed.now, Api.ListMode.CACHED, List.of(Bed.server(1), Bed.server(2)));
+        bed.router.onServerList(bed.now, Api.ListMode.CACHED, List.of(Bed.server(1), Bed.server(2)));
         bed.pass(2_500);
         assertEquals(0, bed.subscriptions, "not with the others at once");
         bed.pass(400);
@@ -113,7 +113,7 @@
             Bed bed = new Bed(builder, rank);
             long begun = bed.now;
             long failed = bed.now;
-            bed.router.onList(bed.now, Api.ListMode.FAILED, List.of());
+            bed.router.onServerList(bed.now, Api.ListMode.FAILED, List.of());
             for (int called = 1; called <= rounds; called++) {
                 while (bed.subscriptions < called) {
                     bed.pass(1);
@@ -121,7 +121,7 @@
                 assertTrue(bed.now - failed <= 2_001 * Bed.MS, "waited " + (bed.now - failed) / Bed.MS + " ms");
                 calls[(int) ((bed.now - begun) / (100 * Bed.MS))]++;
                 failed = bed.now;
-                bed.router.onList(bed.now, Api.ListMode.FAILED, List.of());
+                bed.router.onServerList(bed.now, Api.ListMode.FAILED, List.of());
             }
             assertTrue(bed.now - begun > (rounds - 2) * 2_000 * Bed.MS, "called without a pause");
         }
@@ -549,7 +549,7 @@
         for (int i = 0; i < 1_000; i++) {
             Bed.Sent sent = bed.request(i, i % 16 == 0 ? Bed.KEYED : Bed.READ, i);
             for (int attempt = 0; sent != null && attempt < 6; attempt++) {
-                boolean bad = sent.server() <= 4 && Math.floorMod(Candidates.mix(i * 8L + attempt), 5) < 2;
+                boolean bad = sent.server() <= 4 && Math.floorMod(Candidates.mix64(i * 8L + attempt), 5) < 2;
                 Bed.Sent next = bed.outcome(i, attempt, bad ? Reason.ERROR : Reason.OK);
                 if (!bad) {
                     break;
@@ -566,7 +566,7 @@
     @Test
     void aHostThatTurnsAwayWhatOthersTakeIsNoOverload() {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
-        builder.budget = new Api.Budget(100_000, 1, 1_000 * Bed.MS);
+        builder.budget = new Api.RetryBudget(100_000, 1, 1_000 * Bed.MS);
         Bed bed = new Bed(builder).servers(9);
         for (int i = 0; i < 900; i++) {
             bed.request(i, Bed.READ, i);
@@ -727,7 +727,7 @@
 
     private static int coldSends(Reason end) {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
-        builder.budget = new Api.Budget(100_000, 1, 1_000 * Bed.MS);
+        builder.budget = new Api.RetryBudget(100_000, 1, 1_000 * Bed.MS);
         Bed bed = new Bed(builder).servers(9);
         bed.delta(Bed.server(10, Api.State.READY, bed.now));
         for (int i = 0; i < 2000; i++) {
--- a/src/test/java/eiderscale/FleetSlowStartTest.java
+++ b/src/test/java/eiderscale/FleetSlowStartTest.java
@@ -70,11 +70,11 @@
         }
 
         private Router router(int rank, int balancers, long seed) {
-            Api.RequestClass read = new Api.RequestClass(750 * MS, 0, 1_500 * MS, 2, 0.25, Api.Effect.RETRYABLE,
+            Api.RequestClass read = new Api.RequestClass(750 * MS, 0, 1_500 * MS, 2, 0.25, Api.Effect.IDEMPOTENT,
                     Api.Group.ALL, 0, false, false);
             Api.Settings settings = new Api.Settings(List.of(read), List.of(), 0, rank, balancers, false, -1, false, 5,
                     true, true, true, 2_000 * MS, 500 * MS, 10_000 * MS, COLD, WARM, MULTIPLE, FALL, 1, 0, null,
-                    new Api.ReportLayout(-1, -1, -1));
+                    new Api.LoadReportLayout(-1, -1, -1));
             Router[] self = new Router[1];
             self[0] = new Router(settings, seed, new Api.Actions() {
                 private final java.util.Map<Long, Integer> attempts = new java.util.HashMap<>();
@@ -87,19 +87,19 @@
                     if (server == COLD_HOST && now < START + WARM) {
                         count();
                     }
-                    at(now + Math.min(took, cutAt - now), () -> self[0].onOutcome(now, new Api.Outcome(request, attempt,
+                    at(now + Math.min(took, cutAt - now), () -> self[0].onAttemptOutcome(now, new Api.AttemptOutcome(request, attempt,
                             took > cutAt - now ? Reason.TIMEOUT : failed ? Reason.ERROR : Reason.OK, took,
                             !failed && took <= cutAt - now, new float[0])));
                 }
 
                 @Override
                 public void cancel(long request, int attempt) {
-                    at(now, () -> self[0].onOutcome(now,
-                            new Api.Outcome(request, attempt, Reason.CANCELLED, 0, true, new float[0])));
+                    at(now, () -> self[0].onAttemptOutcome(now,
+                            new Api.AttemptOutcome(request, attempt, Reason.CANCELLED, 0, true, new float[0])));
                 }
 
                 @Override
-                public void wakeAt(long moment, int token) {
+                public void scheduleTimer(long moment, int token) {
                     at(moment, () -> self[0].onTimer(now, token));
                 }
 
@@ -112,7 +112,7 @@
                 }
 
                 @Override
-                public void closeIdle(long server) {
+                public void closeIdleConnections(long server) {
                 }
 
                 @Override
@@ -150,8 +150,8 @@
                 list.add(host(id, 0));
             }
             for (Router router : routers) {
-                router.onList(0, ListMode.FULL, list);
-                at(START + 20 * MS + random.nextLong(2_000 * MS), () -> router.onList(now, ListMode.DELTA,
+                router.onServerList(0, ListMode.FULL, list);
+                at(START + 20 * MS + random.nextLong(2_000 * MS), () -> router.onServerList(now, ListMode.DELTA,
                         List.of(host(COLD_HOST, START))));
             }
             double perNs = load * hosts * CORES / (MEAN_WORK_MS * MS);
@@ -171,7 +171,7 @@
                 pick -= shares[at++];
             }
             long key = now > START + 500 * MS && random.nextDouble() < hot ? HOT_KEY
-                    : Candidates.mix((long) (KEYS * Math.pow(random.nextDouble(), 3)) + 77);
+                    : Candidates.mix64((long) (KEYS * Math.pow(random.nextDouble(), 3)) + 77);
             routers.get(at).onRequest(now, new Api.Request(++requests, 0, 0, key, now + 1_500 * MS, 0, false, false));
             // Bursts of half as much again, a second in every three.
             double rate = perNs * (now / (1_000 * MS) % 3 == 0 ? 1.5 : 0.75);
@@ -183,9 +183,9 @@
     private static final long HOT_KEY = hotKey();
 
     private static long hotKey() {
-        long salt = Candidates.mix(COLD_HOST + 0x9e3779b97f4a7c15L);
+        long salt = Candidates.mix64(COLD_HOST + 0x9e3779b97f4a7c15L);
         for (long key = 1; ; key++) {
-            long hash = Candidates.mix(key ^ salt);
+            long hash = Candidates.mix64(key ^ salt);
             if ((hash & 2047) < 200 && (hash >>> 11) * 0x1.0p-53 < 0.001) {
                 return key;
             }
--- a/src/test/java/eiderscale/FurtherRulesTest.java
+++ b/src/test/java/eiderscale/FurtherRulesTest.java
@@ -18,7 +18,7 @@
 
     private static Bed budgeted(double free, double share) {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
-        builder.budget = new Api.Budget(free, share, 2000 * Bed.MS);
+        builder.budget = new Api.RetryBudget(free, share, 2000 * Bed.MS);
         return new Bed(builder).servers(6);
     }
 
@@ -137,7 +137,7 @@
     void aMissGoesToTheOriginBesideTheBudget() {
         Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
         builder.aside = true;
-        builder.budget = new Api.Budget(0, 0, 2000 * Bed.MS);
+        builder.budget = new Api.RetryBudget(0, 0, 2000 * Bed.MS);
         Bed bed = new Bed(builder).list(java.util.List.of(Bed.server(1), Bed.server(2), Bed.origin(99)));
         bed.request(1, Bed.READ, 5);
         assertEquals(99, bed.outcome(1, 0, Reason.MISS).server());
--- a/src/test/java/eiderscale/RouterTest.java
+++ b/src/test/java/eiderscale/RouterTest.java
@@ -362,14 +362,14 @@
             builder.instances = 4;
             builder.rank = rank;
             Bed bed = new Bed(builder);
-            bed.router.onList(bed.now, Api.ListMode.CACHED, List.of(Bed.server(1)));
+            bed.router.onServerList(bed.now, Api.ListMode.CACHED, List.of(Bed.server(1)));
             assertEquals(1, bed.wakes.size());
             long wait = bed.wakes.get(0).moment() - bed.now;
             assertTrue(wait > last && wait < 10_000 * Bed.MS, "wait " + wait);
             last = wait;
             bed.pass(10_000);
             assertEquals(1, bed.subscriptions);
-            bed.router.onList(bed.now, Api.ListMode.FAILED, List.of());
+            bed.router.onServerList(bed.now, Api.ListMode.FAILED, List.of());
             bed.pass(10_000);
             assertEquals(2, bed.subscriptions);
             assertNotNull(bed.request(1, Bed.READ, 5));
--- a/src/test/java/eiderscale/RulesTest.java
+++ b/src/test/java/eiderscale/RulesTest.java
@@ -62,7 +62,7 @@
         builder.mayDuplicate = seed % 3 != 0;
         builder.lateWorth = seed % 4 == 0 ? 0.5 : 0;
         builder.ordered = seed % 5 != 0;
-        builder.budget = seed % 3 != 1 ? new Api.Budget(2, 0.1, 500 * Bed.MS) : null;
+        builder.budget = seed % 3 != 1 ? new Api.RetryBudget(2, 0.1, 500 * Bed.MS) : null;
         Bed bed = new Bed(builder, seed);
         relist(bed, random);
         for (long id = 1; id <= 3000; id++) {
@@ -109,7 +109,7 @@
                 }
             }
         }
-        if (bed.settings.aside()) {
+        if (bed.settings.isCacheAside()) {
             list.add(Bed.origin(99));
             listed.add(99L);
         }
@@ -151,17 +151,17 @@
         Entry entry = ledger.get(id);
         entry.open.remove((Integer) attempt);
         entry.misses += reason == Reason.MISS ? 1 : 0;
-        if (reason.mayRunOn() && entry.requestClass == Bed.KEYED) {
-            rests.put(entry.key, bed.now + bed.settings.keyQuiet());
+        if (reason.mayStillBeRunning() && entry.requestClass == Bed.KEYED) {
+            rests.put(entry.key, bed.now + bed.settings.keyCooldownNs());
         }
         boolean closes = !entry.done && reason == Reason.OK;
         entry.done |= closes;
-        entry.ran |= !reason.neverRan;
+        entry.ran |= !reason.neverExecuted;
         leaveLine(id, entry);
         if (entry.open.isEmpty() && !entry.ran) {
             entry.firstMayHaveRun = -1;
         }
-        bed.router.onOutcome(bed.now, new Api.Outcome(id, attempt, reason, 0, entry.done, new float[0]));
+        bed.router.onAttemptOutcome(bed.now, new Api.AttemptOutcome(id, attempt, reason, 0, entry.done, new float[0]));
         check(bed);
     }
 
@@ -173,12 +173,12 @@
 
     /** The fifth and the sixth rule. */
     private void checkFurtherRules(Bed bed, Bed.Sent sent, Entry entry) {
-        if (bed.settings.classes().get(entry.requestClass).inOrder()) {
+        if (bed.settings.requestClasses().get(entry.requestClass).isSerialByKey()) {
             assertEquals(sent.request(), lines.get(entry.key).get(0), "out of turn: " + sent);
             boolean rested = sent.at() >= rests.getOrDefault(entry.key, 0L);
             assertTrue(rested || sent.attempt() > 0, "the key rests: " + sent);
         }
-        Api.Budget budget = bed.settings.budget();
+        Api.RetryBudget budget = bed.settings.retryBudget();
         if (entry.sent++ == 0 || budget == null) {
             return;
         }
@@ -186,8 +186,8 @@
             entry.misses--;
         } else {
             further.add(sent.at());
-            long from = sent.at() - budget.span();
-            double allowed = budget.free() + budget.share() * taken.stream().filter(t -> t > from).count();
+            long from = sent.at() - budget.windowNs();
+            double allowed = budget.minRetries() + budget.retryRatio() * taken.stream().filter(t -> t > from).count();
             long made = further.stream().filter(t -> t >= from).count();
             assertTrue(made <= allowed, "beyond the budget: " + sent + ", " + made + " of " + allowed);
         }
@@ -210,7 +210,7 @@
             Entry entry = ledger.get(sent.request());
             assertTrue(entry != null && !entry.done, "sent after the end: " + sent);
             assertTrue(listed.contains(sent.server()), "sent to a host that drains or is gone: " + sent);
-            assertTrue(bed.settings.mayDuplicate() || entry.open.isEmpty(), "two at once: " + sent);
+            assertTrue(bed.settings.mayHedge() || entry.open.isEmpty(), "two at once: " + sent);
             assertTrue(sent.cutAt() <= entry.deadline, "runs past the deadline: " + sent);
             assertTrue(sent.attempt() < bed.settings.maxAttempts(), "too many attempts: " + sent);
             if (entry.firstMayHaveRun >= 0 && entry.requestClass != Bed.READ) {
--- a/src/test/java/eiderscale/SteppedClockTest.java
+++ b/src/test/java/eiderscale/SteppedClockTest.java
@@ -20,7 +20,7 @@
         int reads = seconds * READS_A_SECOND;
         for (int i = 0; i < reads; i++) {
             long id = ++requests;
-            sent += bed.request(id, Bed.READ, Candidates.mix(id)).server() == RESTARTED ? 1 : 0;
+            sent += bed.request(id, Bed.READ, Candidates.mix64(id)).server() == RESTARTED ? 1 : 0;
             bed.pass(SECOND_MS / READS_A_SECOND);
             bed.outcome(id, 0, Api.Reason.OK);
             if (i % READS_A_SECOND == 0) {
--- a/src/test/java/eiderscale/net/BadInputTest.java
+++ b/src/test/java/eiderscale/net/BadInputTest.java
@@ -118,9 +118,9 @@
             good = rig.config("127.0.0.1:0");
         }
         Config config = Config.parse(Json.parse(good.getBytes(StandardCharsets.UTF_8)));
-        assertEquals(3, config.site().settings.classes().size());
+        assertEquals(3, config.site().settings.requestClasses().size());
         assertEquals(7, config.initialCatalog().revision());
-        assertEquals(1_000_000_000L, config.site().settings.drainGrace());
+        assertEquals(1_000_000_000L, config.site().settings.stopSendingWithinNs());
         bad("");
         bad("[]");
         bad("{}");
--- a/src/test/java/eiderscale/net/ConnectingTest.java
+++ b/src/test/java/eiderscale/net/ConnectingTest.java
@@ -133,7 +133,7 @@
             AtomicReference<Api.Server> known = new AtomicReference<>();
             rig.module = (settings, seed, actions) -> new Scripted(actions) {
                 @Override
-                public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+                public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                     known.set(servers.get(0));
                 }
 
@@ -143,9 +143,9 @@
                 }
 
                 @Override
-                public void onOutcome(long now, Api.Outcome outcome) {
-                    if (!outcome.closed()) {
-                        actions.refuse(outcome.request(), 0);
+                public void onAttemptOutcome(long now, Api.AttemptOutcome outcome) {
+                    if (!outcome.isRequestClosed()) {
+                        actions.refuse(outcome.requestId(), 0);
                     }
                 }
             };
--- a/src/test/java/eiderscale/net/CrossingsTest.java
+++ b/src/test/java/eiderscale/net/CrossingsTest.java
@@ -290,7 +290,7 @@
                 private long server;
 
                 @Override
-                public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+                public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                     server = servers.isEmpty() ? server : servers.get(0).id();
                 }
 
@@ -303,10 +303,10 @@
                 }
 
                 @Override
-                public void onOutcome(long now, Api.Outcome outcome) {
+                public void onAttemptOutcome(long now, Api.AttemptOutcome outcome) {
                     if (outcome.reason() != Api.Reason.OK) {
-                        actions.fail(outcome.request());
-                    } else if (outcome.request() == waiting.get(0)) {
+                        actions.fail(outcome.requestId());
+                    } else if (outcome.requestId() == waiting.get(0)) {
                         actions.send(waiting.get(1), server, 0);
                     }
                 }
@@ -442,7 +442,7 @@
                 private List<Api.Server> all = List.of();
 
                 @Override
-                public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+                public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                     all = servers.isEmpty() ? all : servers;
                 }
 
--- a/src/test/java/eiderscale/net/DiscoveryTest.java
+++ b/src/test/java/eiderscale/net/DiscoveryTest.java
@@ -51,10 +51,10 @@
     private Api.Events recording(Api.Actions actions) {
         return new Scripted(actions) {
             @Override
-            public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+            public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                 told.add(mode + " " + servers.size());
                 if (mode == Api.ListMode.CACHED || mode == Api.ListMode.FAILED) {
-                    actions.wakeAt(now, 1);
+                    actions.scheduleTimer(now, 1);
                 }
             }
 
@@ -142,10 +142,10 @@
     private Api.Events askingOnce(Api.Actions actions) {
         return new Scripted(actions) {
             @Override
-            public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+            public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                 told.add(mode + " " + servers.size());
                 if (mode == Api.ListMode.CACHED) {
-                    actions.wakeAt(now, 1);
+                    actions.scheduleTimer(now, 1);
                 }
             }
 
@@ -207,7 +207,7 @@
         try (FakeHost moved = discovery(); Rig rig = new Rig(FakeHost.serving())) {
             rig.module = (settings, seed, actions) -> new Scripted(actions) {
                 @Override
-                public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+                public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                     told.add(mode + " " + servers.size());
                 }
             };
@@ -226,7 +226,7 @@
             rig.listed = "automatic";
             rig.module = (settings, seed, actions) -> new Scripted(actions) {
                 @Override
-                public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+                public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                     told.add(mode + " " + servers.size());
                 }
             };
--- a/src/test/java/eiderscale/net/OrderTest.java
+++ b/src/test/java/eiderscale/net/OrderTest.java
@@ -17,7 +17,7 @@
 /** What the module asks for takes effect in order, and every send gets one outcome, after the module returned. */
 class OrderTest {
     private static final long MS = Clock.MILLISECOND;
-    private final BlockingQueue<Api.Outcome> outcomes = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Api.AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     private volatile boolean reentered;
     private volatile Api.Request taken;
 
@@ -31,7 +31,7 @@
         }
 
         @Override
-        public void onList(long now, Api.ListMode mode, List<Api.Server> list) {
+        public void onServerList(long now, Api.ListMode mode, List<Api.Server> list) {
             servers = list;
         }
 
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void onOutcome(long now, Api.Outcome outcome) {
+        public void onAttemptOutcome(long now, Api.AttemptOutcome outcome) {
             reentered |= busy;
             outcomes.add(outcome);
         }
@@ -68,15 +68,15 @@
         return rig;
     }
 
-    private Api.Outcome outcome() throws InterruptedException {
+    private Api.AttemptOutcome outcome() throws InterruptedException {
         return outcomes.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
     }
 
     private void expect(int attempt, Reason reason, boolean closed) throws InterruptedException {
-        Api.Outcome outcome = outcome();
-        assertEquals(attempt, outcome.attempt());
+        Api.AttemptOutcome outcome = outcome();
+        assertEquals(attempt, outcome.attemptIndex());
         assertEquals(reason, outcome.reason());
-        assertEquals(closed, outcome.closed(), "closed");
+        assertEquals(closed, outcome.isRequestClosed(), "closed");
     }
 
     @Test
@@ -125,9 +125,9 @@
         FakeHost host = FakeHost.answering(c -> number[0]++ == 0 ? null : FakeHost.value(c, "v"));
         try (Rig rig = rig((actions, now, request, server) -> {
             actions.send(request.id(), server, 0);
-            actions.wakeAt(now + MS, 1);
+            actions.scheduleTimer(now + MS, 1);
         }, host)) {
-            Balancer.Module inner = rig.module;
+            Balancer.ModuleFactory inner = rig.module;
             rig.module = (settings, seed, actions) -> {
                 Api.Events events = inner.create(settings, seed, actions);
                 return new Scripted(actions) {
@@ -135,8 +135,8 @@
                     private long server;
 
                     @Override
-                    public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                        events.onList(now, mode, servers);
+                    public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
+                        events.onServerList(now, mode, servers);
                         server = servers.isEmpty() ? server : servers.get(0).id();
                     }
 
@@ -149,17 +149,17 @@
                     @Override
                     public void onTimer(long now, int token) {
                         if (number[0] == 0) {
-                            actions.wakeAt(now + MS, token);
+                            actions.scheduleTimer(now + MS, token);
                         } else {
                             actions.send(id, server, 0);
                         }
                     }
 
                     @Override
-                    public void onOutcome(long now, Api.Outcome outcome) {
+                    public void onAttemptOutcome(long now, Api.AttemptOutcome outcome) {
                         actions.fail(id);
                         actions.cancel(id, 0);
-                        events.onOutcome(now, outcome);
+                        events.onAttemptOutcome(now, outcome);
                     }
                 };
             };
@@ -181,15 +181,15 @@
             long before = Clock.now();
             client.ask("ms 00000000000000ff 1 O1 Pc=put,t=acme,d=4000,k=1,r=1,h=250,size=12\r\nx");
             assertEquals(255, taken.key());
-            assertEquals(2, taken.requestClass());
-            assertEquals(0, taken.tenant());
-            assertEquals(250_000, taken.work());
-            assertTrue(taken.repeat() && taken.write());
+            assertEquals(2, taken.classIndex());
+            assertEquals(0, taken.tenantIndex());
+            assertEquals(250_000, taken.workHintNs());
+            assertTrue(taken.isClientRetry() && taken.isWrite());
             assertTrue(taken.deadline() > before && taken.deadline() < Clock.now() + 4000 * MS,
                     "the client counts from when it sent");
-            assertEquals(List.of(0.0f), List.of(outcome().report().length * 0.0f));
+            assertEquals(List.of(0.0f), List.of(outcome().loadReport().length * 0.0f));
             client.ask(Rig.READ);
-            assertEquals(0.5f, outcome().report()[0], "util on sockets is busy in the settings");
+            assertEquals(0.5f, outcome().loadReport()[0], "util on sockets is busy in the settings");
         }
     }
 
@@ -216,7 +216,7 @@
     @Test
     void aRequestThatTheModuleFailsOnIsAnsweredByTheRules() throws Exception {
         try (Rig rig = rig((actions, now, request, host) -> {
-            if (request.requestClass() == 0) {
+            if (request.classIndex() == 0) {
                 throw new IllegalStateException("a fault before the send");
             }
             actions.send(request.id(), host, 0);
--- a/src/test/java/eiderscale/net/Rig.java
+++ b/src/test/java/eiderscale/net/Rig.java
@@ -52,7 +52,7 @@
     String listed = "subscribe";
     boolean cancelling = true;
     String discovery = "127.0.0.1:1";
-    Balancer.Module module = Router::new;
+    Balancer.ModuleFactory module = Router::new;
     Node node;
     EventLoop loop;
     private NioEventLoopGroup group;
--- a/src/test/java/eiderscale/net/Scripted.java
+++ b/src/test/java/eiderscale/net/Scripted.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public void onList(long now, Api.ListMode mode, List<Api.Server> servers) {
+    public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
     }
 
     @Override
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void onOutcome(long now, Api.Outcome outcome) {
+    public void onAttemptOutcome(long now, Api.AttemptOutcome outcome) {
     }
 
     @Override
--- a/src/test/java/eiderscale/sim/AdapterTest.java
+++ b/src/test/java/eiderscale/sim/AdapterTest.java
@@ -154,9 +154,9 @@
     @Test
     void missingSettingsGetSafeDefaults() {
         Api.Settings settings = SettingsParser.parse("categories.count=1\n");
-        assertEquals(Api.Effect.FRAGILE, settings.classes().get(0).effect());
+        assertEquals(Api.Effect.NON_IDEMPOTENT, settings.requestClasses().get(0).effect());
         assertEquals(1, settings.maxAttempts());
-        assertTrue(!settings.mayDuplicate() && !settings.mayCancel() && !settings.aside());
+        assertTrue(!settings.mayHedge() && !settings.mayCancel() && !settings.isCacheAside());
     }
 
     @Test
@@ -169,10 +169,10 @@
 
     @Test
     void anEmptyBudgetAllowsNothingAndAnAbsentOneIsNone() {
-        assertEquals(null, SettingsParser.parse("categories.count=1\n").budget());
-        Api.Budget empty = SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").budget();
-        assertEquals(0, empty.free() + empty.share());
-        assertTrue(SettingsParser.parse("guarantees.key-quiet-ns=\n").keyQuiet() > 0, "a key rests");
+        assertEquals(null, SettingsParser.parse("categories.count=1\n").retryBudget());
+        Api.RetryBudget empty = SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").retryBudget();
+        assertEquals(0, empty.minRetries() + empty.retryRatio());
+        assertTrue(SettingsParser.parse("guarantees.key-quiet-ns=\n").keyCooldownNs() > 0, "a key rests");
     }
 
     /** Sent just inside the window, a repeat whose connection came up late reached its host past it. */
@@ -180,8 +180,8 @@
     void aWindowLeavesARepeatTimeForItsConnection() {
         String text = "categories.count=2\ncategories.0.window-ns=1500000000\ncategories.1.window-ns=100\n"
                 + "ceilings.connect-timeout-ns=200000000\n";
-        assertEquals(1_300_000_000L, SettingsParser.parse(text).classes().get(0).window());
-        assertEquals(0, SettingsParser.parse(text).classes().get(1).window());
+        assertEquals(1_300_000_000L, SettingsParser.parse(text).requestClasses().get(0).dedupWindowNs());
+        assertEquals(0, SettingsParser.parse(text).requestClasses().get(1).dedupWindowNs());
     }
 
     @Test
