--- a/src/main/java/eiderscale/sim/Adapter.java
+++ b/src/main/java/eiderscale/sim/Adapter.java
@@ -13,181 +13,250 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads event batches, hands them to one {@link Router} per instance, and replies. Decides nothing. */
+/**
+ * Runs decision modules under a simulator: reads frames of event records from the input, passes each event to the
+ * {@link Router} of the balancer that it names, and answers every frame with a frame of action records (see
+ * {@link ReplyWriter}). Translates between wire and {@link Api} only; all decisions are the module's.
+ *
+ * <p>All numbers on the wire are little-endian; times are nanoseconds of the simulator's clock. A frame is a 4-byte
+ * length prefix, which does not count itself, and the body:
+ * <pre>
+ *   0   4   number of event records
+ *   4   8   time of the batch
+ *  12       event records of 56 bytes each
+ *           payload section: settings texts and server entries that the records refer to
+ * </pre>
+ *
+ * <p>Byte 0 of an event record is its event code, bytes 1-4 are the balancer id (not in code 0). The other fields,
+ * with their offsets within the record; a <i>range</i> is a 4-byte offset from the start of the payload section and
+ * a 4-byte number of items:
+ * <pre>
+ *   0  server list      1 list number, 2 range of 24-byte server entries
+ *   1  timer due        5 token
+ *   2  attempt ended    5 request id, 13 attempt, 21 outcome code, 23 duration, 31 whether the request has its
+ *                      final answer, 36 number of load report values, 37 those values, at most four used
+ *   3  balancer stops
+ *   4  message          (ignored)
+ *   5  probe result     (ignored)
+ *   6  list update      5 list mode, 14 list number
+ *   7  balancer starts  5 random seed, 13 range of bytes of the settings text
+ *   8  first byte       5 request id, 13 attempt
+ *   9  client gone      5 request id
+ *  10  request          5 request id, 13 request class, 15 tenant, 19 key, 27 deadline, 35 work hint, 47 attributes
+ * </pre>
+ *
+ * <p>Fields of a server entry: 0 address, 4 port, 6 zone, 8 kind, 9 cell, 11 state, 12 weight, 16 start time. The codes
+ * of list modes and server states are the ordinals of {@link Api.ListMode} and {@link Api.State}.
+ *
+ * <p>Request ids, keys, times, durations, work hints and seeds have 8 bytes; balancer ids, tokens, tenants and
+ * addresses 4; attempts, request classes, outcome codes, ports, zones and cells 2; load report values and weights are
+ * 4-byte floats; all else has 1 byte.
+ *
+ * <p>A server list is kept under its number until the same number is sent again, so that the list updates of several
+ * balancers can refer to it.
+ */
 final class Adapter {
-    static final int EVENT = 56;
-    private static final int ENTRY = 24;
-    private static final int LISTS = 16;
-    private static final int BODY_HEADER = 12;
-    /** A frame longer than this is taken for a damaged length. */
-    static final int MOST_BYTES = 1 << 28;
-    private static final int ATTR_HINT = 1;
-    private static final int ATTR_REPEAT = 2;
-    private static final int ATTR_WRITE = 4;
-    private static final float[] NO_REPORT = new float[0];
-
-    /** One balancer hosted here, and how many request classes its settings name. */
-    private record Instance(Router router, int classes) {
+    /** Size of an event record, whatever its event code. */
+    static final int EVENT_RECORD_BYTES = 56;
+    /** Size of a server entry in the payload section. */
+    private static final int SERVER_ENTRY_BYTES = 24;
+    /** List numbers run from 0 to one less than this. */
+    private static final int MAX_SERVER_LISTS = 16;
+    /** Record count (4 bytes) and time of the batch (8 bytes). */
+    private static final int BODY_HEADER_BYTES = 12;
+    /** Maximum length of a body; a greater length prefix is treated as corrupt. */
+    static final int MAX_BODY_BYTES = 1 << 28;
+    /** Bits of a request's attributes. */
+    private static final int ATTR_HAS_WORK_HINT = 1;
+    private static final int ATTR_IS_REPEAT = 2;
+    private static final int ATTR_IS_WRITE = 4;
+    /** Shared by all outcomes without a load report. */
+    private static final float[] EMPTY_LOAD_REPORT = new float[0];
+
+    /** A balancer that has started, and the number of request classes in its settings. */
+    private record Instance(Router router, int requestClassCount) {
     }
 
-    private final InputStream in;
-    private final OutputStream out;
-    private final ReplyWriter reply = new ReplyWriter();
+    private final InputStream input;
+    private final OutputStream output;
+    private final ReplyWriter replyWriter = new ReplyWriter();
+    /** Started balancers by balancer id. */
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Api.Server>> lists = new ArrayList<>();
-    private ByteBuffer frame;
-    private int tail;
+    /** Server lists by list number; null if not yet sent. */
+    private final List<List<Api.Server>> serverLists = new ArrayList<>();
+    /** Body of the current frame. */
+    private ByteBuffer body;
+    /** Offset of the payload section within the body. */
+    private int payloadStart;
 
-    Adapter(InputStream in, OutputStream out) {
-        this.in = in;
-        this.out = out;
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
+    Adapter(InputStream input, OutputStream output) {
+        this.input = input;
+        this.output = output;
+        for (int i = 0; i < MAX_SERVER_LISTS; i++) {
+            serverLists.add(null);
         }
     }
 
-    /** Serves until the end of input. */
+    /**
+     * Answers frames until the input ends between two frames.
+     *
+     * @throws MalformedInputException if a frame is incomplete or breaks the layout
+     * @throws IOException if the input cannot be read or the output cannot be written
+     */
     void run() throws IOException {
         while (readFrame()) {
-            reply.begin();
-            int records = frame.getInt(0);
-            long now = frame.getLong(4);
-            for (int i = 0; i < records; i++) {
-                event(now, BODY_HEADER + i * EVENT);
+            replyWriter.beginFrame();
+            int recordCount = body.getInt(0);
+            long now = body.getLong(4);
+            for (int i = 0; i < recordCount; i++) {
+                handleEvent(now, BODY_HEADER_BYTES + i * EVENT_RECORD_BYTES);
             }
-            reply.finish(out);
+            replyWriter.writeFrame(output);
         }
     }
 
+    /** Reads the next frame into {@link #body} and checks its sizes. Returns false at the end of input. */
     private boolean readFrame() throws IOException {
-        byte[] head = in.readNBytes(4);
-        if (head.length == 0) {
+        byte[] lengthPrefix = input.readNBytes(4);
+        if (lengthPrefix.length == 0) {
             return false;
         }
-        if (head.length < 4) {
-            throw new WireException("end of input inside a frame's length");
+        if (lengthPrefix.length < 4) {
+            throw new MalformedInputException("end of input inside the length prefix of a frame");
         }
-        int length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
-        if (length < BODY_HEADER || length > MOST_BYTES) {
-            throw new WireException("impossible frame length " + Integer.toUnsignedString(length));
+        int bodyLength = ByteBuffer.wrap(lengthPrefix).order(ByteOrder.LITTLE_ENDIAN).getInt();
+        if (bodyLength < BODY_HEADER_BYTES || bodyLength > MAX_BODY_BYTES) {
+            throw new MalformedInputException("frame length out of range: " + Integer.toUnsignedString(bodyLength));
         }
-        byte[] body = in.readNBytes(length);
-        if (body.length < length) {
-            throw new WireException("end of input inside a frame: " + body.length + " of " + length + " bytes");
+        byte[] bodyBytes = input.readNBytes(bodyLength);
+        if (bodyBytes.length < bodyLength) {
+            throw new MalformedInputException("end of input inside a frame body: " + bodyBytes.length + " of "
+                    + bodyLength + " bytes");
         }
-        frame = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
-        int records = frame.getInt(0);
-        long end = BODY_HEADER + (records & 0xffffffffL) * EVENT;
-        if (end > length) {
-            throw new WireException("a frame of " + length + " bytes cannot hold "
-                    + Integer.toUnsignedString(records) + " records");
+        body = ByteBuffer.wrap(bodyBytes).order(ByteOrder.LITTLE_ENDIAN);
+        int recordCount = body.getInt(0);
+        long recordsEnd = BODY_HEADER_BYTES + (recordCount & 0xffffffffL) * EVENT_RECORD_BYTES;
+        if (recordsEnd > bodyLength) {
+            throw new MalformedInputException("a frame body of " + bodyLength + " bytes cannot hold "
+                    + Integer.toUnsignedString(recordCount) + " records");
         }
-        tail = (int) end;
+        payloadStart = (int) recordsEnd;
         return true;
     }
 
-    private void event(long now, int at) {
-        int code = frame.get(at) & 0xff;
-        if (code == 0) {
-            list(at);
+    /** Passes the event record at an offset in the body to its balancer, or starts or stops a balancer. */
+    private void handleEvent(long now, int recordOffset) {
+        int eventCode = body.get(recordOffset) & 0xff;
+        if (eventCode == 0) {
+            storeServerList(recordOffset);
             return;
         }
-        int balancer = frame.getInt(at + 1);
-        if (code == 7) {
-            start(at, balancer);
+        int balancerId = body.getInt(recordOffset + 1);
+        if (eventCode == 7) {
+            startInstance(recordOffset, balancerId);
             return;
         }
-        if (code > 10) {
-            throw new WireException("unknown event code " + code);
+        if (eventCode > 10) {
+            throw new MalformedInputException("unknown event code " + eventCode);
         }
-        Instance instance = instances.get(balancer);
+        Instance instance = instances.get(balancerId);
         if (instance == null) {
-            throw new WireException("event " + code + " for balancer " + balancer + ", which has not started");
+            throw new MalformedInputException("event " + eventCode + " for balancer " + balancerId
+                    + ", which has not started");
         }
         Router router = instance.router();
-        switch (code) {
-            case 1 -> router.onTimer(now, frame.getInt(at + 5));
-            case 2 -> router.onAttemptOutcome(now, outcome(at));
-            case 3 -> instances.remove(balancer);
-            case 6 -> router.onServerList(now, mode(at), entries(at));
-            case 8 -> router.onFirstByte(now, frame.getLong(at + 5), unsignedShort(at + 13));
-            case 9 -> router.onClientGone(now, frame.getLong(at + 5));
-            case 10 -> router.onRequest(now, request(at, instance.classes()));
+        switch (eventCode) {
+            case 1 -> router.onTimer(now, body.getInt(recordOffset + 5));
+            case 2 -> router.onAttemptOutcome(now, readOutcome(recordOffset));
+            case 3 -> instances.remove(balancerId);
+            case 6 -> router.onServerList(now, readListMode(recordOffset), findReferencedServers(recordOffset));
+            case 8 -> router.onFirstByte(now, body.getLong(recordOffset + 5), readUnsignedShort(recordOffset + 13));
+            case 9 -> router.onClientGone(now, body.getLong(recordOffset + 5));
+            case 10 -> router.onRequest(now, readRequest(recordOffset, instance.requestClassCount()));
             default -> {
-                // 4 and 5: messages and probe results, which this module never asks for.
+                // Codes 4 (message) and 5 (probe result) are ignored: the module requests neither.
             }
         }
     }
 
-    private void start(int at, int balancer) {
-        int[] range = tailRange(at + 13, 1);
-        String text = new String(frame.array(), range[0], range[1], StandardCharsets.UTF_8);
-        Api.Settings settings = SettingsParser.parse(text);
+    /** Starts a balancer; replaces a running one of the same id. */
+    private void startInstance(int recordOffset, int balancerId) {
+        int[] range = readRange(recordOffset + 13, 1);
+        String settingsText = new String(body.array(), range[0], range[1], StandardCharsets.UTF_8);
+        Api.Settings settings = SettingsParser.parse(settingsText);
         if (settings.requestClasses().isEmpty()) {
-            throw new WireException("settings of balancer " + balancer + " name no request class");
+            throw new MalformedInputException("settings of balancer " + balancerId + " define no request class");
         }
-        Router router = new Router(settings, frame.getLong(at + 5), reply.of(balancer));
-        instances.put(balancer, new Instance(router, settings.requestClasses().size()));
+        Router router = new Router(settings, body.getLong(recordOffset + 5), replyWriter.actionsFor(balancerId));
+        instances.put(balancerId, new Instance(router, settings.requestClasses().size()));
     }
 
-    private void list(int at) {
-        int[] range = tailRange(at + 2, ENTRY);
+    /** Reads a server list and stores it under its number. */
+    private void storeServerList(int recordOffset) {
+        int[] range = readRange(recordOffset + 2, SERVER_ENTRY_BYTES);
         List<Api.Server> servers = new ArrayList<>(range[1]);
         for (int i = 0; i < range[1]; i++) {
-            int entry = range[0] + i * ENTRY;
-            int state = frame.get(entry + 11);
+            int entryOffset = range[0] + i * SERVER_ENTRY_BYTES;
+            int state = body.get(entryOffset + 11);
             if (state < 0 || state > 2) {
-                throw new WireException("unknown server condition " + state);
+                throw new MalformedInputException("unknown server state " + state);
             }
-            servers.add(new Api.Server(address(entry), unsignedShort(entry + 6), frame.get(entry + 8) & 0xff,
-                    unsignedShort(entry + 9), Api.State.values()[state], frame.getFloat(entry + 12),
-                    frame.getLong(entry + 16)));
+            servers.add(new Api.Server(readServerId(entryOffset), readUnsignedShort(entryOffset + 6),
+                    body.get(entryOffset + 8) & 0xff, readUnsignedShort(entryOffset + 9),
+                    Api.State.values()[state], body.getFloat(entryOffset + 12), body.getLong(entryOffset + 16)));
         }
-        lists.set(listNumber(at + 1), List.copyOf(servers));
+        serverLists.set(readListNumber(recordOffset + 1), List.copyOf(servers));
     }
 
-    private int listNumber(int at) {
-        int number = frame.get(at) & 0xff;
-        if (number >= LISTS) {
-            throw new WireException("impossible list number " + number);
+    private int readListNumber(int offset) {
+        int listNumber = body.get(offset) & 0xff;
+        if (listNumber >= MAX_SERVER_LISTS) {
+            throw new MalformedInputException("server list number out of range: " + listNumber);
         }
-        return number;
+        return listNumber;
     }
 
-    private Api.ListMode mode(int at) {
-        int mode = frame.get(at + 5) & 0xff;
+    /** Reads the list mode of the list update record at the offset. */
+    private Api.ListMode readListMode(int recordOffset) {
+        int mode = body.get(recordOffset + 5) & 0xff;
         if (mode >= Api.ListMode.values().length) {
-            throw new WireException("unknown list mode " + mode);
+            throw new MalformedInputException("unknown list mode " + mode);
         }
         return Api.ListMode.values()[mode];
     }
 
-    private List<Api.Server> entries(int at) {
-        if (mode(at) == Api.ListMode.FAILED) {
+    /** The servers that a list update refers to; none if it reports a failed discovery call. */
+    private List<Api.Server> findReferencedServers(int recordOffset) {
+        if (readListMode(recordOffset) == Api.ListMode.FAILED) {
             return List.of();
         }
-        int number = listNumber(at + 14);
-        if (lists.get(number) == null) {
-            throw new WireException("list " + number + " was never sent");
+        int listNumber = readListNumber(recordOffset + 14);
+        if (serverLists.get(listNumber) == null) {
+            throw new MalformedInputException("server list " + listNumber + " has not been sent");
         }
-        return lists.get(number);
+        return serverLists.get(listNumber);
     }
 
-    private Api.Request request(int at, int classCount) {
-        int attrs = frame.get(at + 47);
-        int requestClass = unsignedShort(at + 13);
-        if (requestClass >= classCount) {
-            throw new WireException("unknown request class " + requestClass);
+    /** Reads a request event; its request class must be among those of the balancer's settings. */
+    private Api.Request readRequest(int recordOffset, int requestClassCount) {
+        int attributes = body.get(recordOffset + 47);
+        int requestClass = readUnsignedShort(recordOffset + 13);
+        if (requestClass >= requestClassCount) {
+            throw new MalformedInputException("unknown request class " + requestClass);
         }
-        return new Api.Request(frame.getLong(at + 5), requestClass, frame.getInt(at + 15) & Integer.MAX_VALUE,
-                frame.getLong(at + 19), frame.getLong(at + 27),
-                (attrs & ATTR_HINT) != 0 ? frame.getLong(at + 35) : 0, (attrs & ATTR_REPEAT) != 0,
-                (attrs & ATTR_WRITE) != 0);
+        // The tenant's sign bit is cleared because the module uses tenants as array indexes and checks only that
+        // they are below the number of configured tenants.
+        return new Api.Request(body.getLong(recordOffset + 5), requestClass,
+                body.getInt(recordOffset + 15) & Integer.MAX_VALUE,
+                body.getLong(recordOffset + 19), body.getLong(recordOffset + 27),
+                (attributes & ATTR_HAS_WORK_HINT) != 0 ? body.getLong(recordOffset + 35) : 0,
+                (attributes & ATTR_IS_REPEAT) != 0, (attributes & ATTR_IS_WRITE) != 0);
     }
 
-    private Api.AttemptOutcome outcome(int at) {
-        int code = unsignedShort(at + 21);
-        Api.Reason reason = switch (code) {
+    /** Reads the end of an attempt; an outcome code outside the list below is an error. */
+    private Api.AttemptOutcome readOutcome(int recordOffset) {
+        int outcomeCode = readUnsignedShort(recordOffset + 21);
+        Api.Reason reason = switch (outcomeCode) {
             case 200 -> Api.Reason.OK;
             case 204 -> Api.Reason.MISS;
             case 408 -> Api.Reason.TIMEOUT;
@@ -197,33 +266,40 @@
             case 502 -> Api.Reason.ERROR;
             case 520 -> Api.Reason.RESET;
             case 521 -> Api.Reason.CONNECT_FAILED;
-            default -> throw new WireException("unknown outcome " + code);
+            default -> throw new MalformedInputException("unknown outcome code " + outcomeCode);
         };
-        int n = Math.min(4, frame.get(at + 36) & 0xff);
-        float[] report = n == 0 ? NO_REPORT : new float[n];
-        for (int i = 0; i < n; i++) {
-            report[i] = frame.getFloat(at + 37 + 4 * i);
+        int valueCount = Math.min(4, body.get(recordOffset + 36) & 0xff);
+        float[] loadReport = valueCount == 0 ? EMPTY_LOAD_REPORT : new float[valueCount];
+        for (int i = 0; i < valueCount; i++) {
+            loadReport[i] = body.getFloat(recordOffset + 37 + 4 * i);
         }
-        return new Api.AttemptOutcome(frame.getLong(at + 5), unsignedShort(at + 13), reason, frame.getLong(at + 23),
-                frame.get(at + 31) != 0, report);
+        return new Api.AttemptOutcome(body.getLong(recordOffset + 5), readUnsignedShort(recordOffset + 13), reason,
+                body.getLong(recordOffset + 23), body.get(recordOffset + 31) != 0, loadReport);
     }
 
-    /** Start and count of a piece of the tail, checked against the frame's end. */
-    private int[] tailRange(int at, int size) {
-        long offset = frame.getInt(at) & 0xffffffffL;
-        long count = frame.getInt(at + 4) & 0xffffffffL;
-        if (tail + offset + count * size > frame.capacity()) {
-            throw new WireException("a record points past the end of its frame: offset " + offset + ", length "
-                    + count);
+    /**
+     * Reads a range (offset and number of items) from a record and checks that it ends within the frame.
+     *
+     * @param rangeOffset offset of the range within the body
+     * @param itemBytes size of an item
+     * @return the offset of the first item within the body, and the number of items
+     */
+    private int[] readRange(int rangeOffset, int itemBytes) {
+        long payloadOffset = body.getInt(rangeOffset) & 0xffffffffL;
+        long itemCount = body.getInt(rangeOffset + 4) & 0xffffffffL;
+        if (payloadStart + payloadOffset + itemCount * itemBytes > body.capacity()) {
+            throw new MalformedInputException("a record points past the end of its frame: offset " + payloadOffset
+                    + ", number of items " + itemCount);
         }
-        return new int[] {(int) (tail + offset), (int) count};
+        return new int[] {(int) (payloadStart + payloadOffset), (int) itemCount};
     }
 
-    private long address(int at) {
-        return frame.getInt(at) & 0xffffffffL | (long) unsignedShort(at + 4) << 32;
+    /** Reads a server's 4-byte address and 2-byte port as an id: the address in the low 32 bits, the port above. */
+    private long readServerId(int offset) {
+        return body.getInt(offset) & 0xffffffffL | (long) readUnsignedShort(offset + 4) << 32;
     }
 
-    private int unsignedShort(int at) {
-        return frame.getShort(at) & 0xffff;
+    private int readUnsignedShort(int offset) {
+        return body.getShort(offset) & 0xffff;
     }
 }
--- a/src/main/java/eiderscale/sim/Main.java
+++ b/src/main/java/eiderscale/sim/Main.java
@@ -1,42 +1,46 @@
 package eiderscale.sim;
 
 import java.io.BufferedInputStream;
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** Runs the decision module on the simulator's wire: standard input to standard output. */
+/**
+ * Runs the decision module under a simulator: event frames on standard input, reply frames on standard output, error
+ * messages on standard error.
+ */
 public final class Main {
-    private static final int BUFFER = 1 << 16;
+    private static final int INPUT_BUFFER_BYTES = 1 << 16;
 
     private Main() {
     }
 
-    /** Exits 0 at a clean end of input, 1 on input that breaks the wire's rules or a wrong argument. */
+    /** Exits with 0 if the input ends between two frames, with 1 on malformed input, I/O errors or wrong usage. */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("eiderscale: usage: java -jar eiderscale.jar adapter");
             System.exit(1);
         }
-        InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER);
-        int status = serve(in, new FileOutputStream(FileDescriptor.out), System.err);
-        if (status != 0) {
-            System.exit(status);
+        InputStream input = new BufferedInputStream(new FileInputStream(FileDescriptor.in), INPUT_BUFFER_BYTES);
+        int exitStatus = serve(input, new FileOutputStream(FileDescriptor.out), System.err);
+        if (exitStatus != 0) {
+            System.exit(exitStatus);
         }
     }
 
-    static int serve(InputStream in, OutputStream out, PrintStream err) {
+    /** Runs the adapter until the input ends; returns the exit status and reports a failure on {@code errors}. */
+    static int serve(InputStream input, OutputStream output, PrintStream errors) {
         try {
-            new Adapter(in, out).run();
+            new Adapter(input, output).run();
             return 0;
-        } catch (WireException e) {
-            err.println("eiderscale: malformed input: " + e.getMessage());
+        } catch (MalformedInputException e) {
+            errors.println("eiderscale: malformed input: " + e.getMessage());
         } catch (IOException e) {
-            err.println("eiderscale: cannot read or write the wire: " + e.getMessage());
+            errors.println("eiderscale: cannot read or write the wire: " + e.getMessage());
         }
         return 1;
     }
--- a/src/main/java/eiderscale/sim/ReplyWriter.java
+++ b/src/main/java/eiderscale/sim/ReplyWriter.java
@@ -7,97 +7,124 @@
 import java.nio.ByteOrder;
 import java.util.Arrays;
 
-/** Collects the actions of one batch as a reply frame. */
+/**
+ * Collects the actions of one batch of events in a reply frame.
+ *
+ * <p>All numbers are little-endian; times are nanoseconds. A reply frame is a header and action records of 32 bytes
+ * each; the header holds the length of the rest of the frame (4 bytes) and the number of records (4 bytes). Byte 0
+ * of a record is its action code, bytes 1-4 are the balancer id. The other fields, with their offsets within the
+ * record:
+ * <pre>
+ *  64  subscribe to the server list  5 always 1
+ *  65  fail a request                5 request id
+ *  67  send an attempt               5 request id, 13 time at which to abandon it, 21 server address, 25 server port
+ *  68  set a timer                   5 due time, 13 token
+ *  72  close idle connections        5 server address, 9 server port
+ *  74  cancel an attempt             5 request id, 13 attempt
+ *  75  refuse a request              5 request id, 13 retry-after time
+ * </pre>
+ *
+ * <p>Request ids and times have 8 bytes, tokens and server addresses 4, attempts and ports 2.
+ *
+ * <p>The buffer grows as needed and is reused for the next frame.
+ */
 final class ReplyWriter {
-    static final int HEADER = 8;
-    static final int ACTION = 32;
-    private static final byte SUBSCRIBE = 64;
-    private static final byte FAIL = 65;
-    private static final byte SEND = 67;
-    private static final byte WAKE = 68;
-    private static final byte CLOSE_IDLE = 72;
-    private static final byte CANCEL = 74;
-    private static final byte REFUSE = 75;
+    /** Length field and number of records. */
+    static final int HEADER_BYTES = 8;
+    /** Size of an action record, whatever its action code. */
+    static final int ACTION_RECORD_BYTES = 32;
+    /** Action codes, byte 0 of a record. */
+    private static final byte ACTION_SUBSCRIBE = 64;
+    private static final byte ACTION_FAIL = 65;
+    private static final byte ACTION_SEND = 67;
+    private static final byte ACTION_SET_TIMER = 68;
+    private static final byte ACTION_CLOSE_IDLE = 72;
+    private static final byte ACTION_CANCEL = 74;
+    private static final byte ACTION_REFUSE = 75;
 
-    private byte[] bytes = new byte[1 << 16];
-    private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-    private int records;
+    /** Header and records of the current frame; {@link #frameBuffer} is a view of it. */
+    private byte[] frameBytes = new byte[1 << 16];
+    private ByteBuffer frameBuffer = ByteBuffer.wrap(frameBytes).order(ByteOrder.LITTLE_ENDIAN);
+    /** Records in the current frame so far. */
+    private int recordCount;
 
-    void begin() {
-        records = 0;
+    /** Starts an empty frame; drops records that have not been written. */
+    void beginFrame() {
+        recordCount = 0;
     }
 
-    /** Completes the frame and writes it out. */
-    void finish(OutputStream out) throws IOException {
-        int length = HEADER + records * ACTION;
-        buffer.putInt(0, length - 4);
-        buffer.putInt(4, records);
-        out.write(bytes, 0, length);
-        out.flush();
+    /** Fills in the header, writes the frame and flushes the output. */
+    void writeFrame(OutputStream output) throws IOException {
+        int frameLength = HEADER_BYTES + recordCount * ACTION_RECORD_BYTES;
+        frameBuffer.putInt(0, frameLength - 4);
+        frameBuffer.putInt(4, recordCount);
+        output.write(frameBytes, 0, frameLength);
+        output.flush();
     }
 
-    private int record(byte code, int balancer) {
-        int at = HEADER + records++ * ACTION;
-        if (at + ACTION > bytes.length) {
-            bytes = Arrays.copyOf(bytes, bytes.length * 2);
-            buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
+    /** Adds a record with code and balancer id set and all other bytes 0; returns its offset within the frame. */
+    private int appendRecord(byte actionCode, int balancerId) {
+        int recordOffset = HEADER_BYTES + recordCount++ * ACTION_RECORD_BYTES;
+        if (recordOffset + ACTION_RECORD_BYTES > frameBytes.length) {
+            frameBytes = Arrays.copyOf(frameBytes, frameBytes.length * 2);
+            frameBuffer = ByteBuffer.wrap(frameBytes).order(ByteOrder.LITTLE_ENDIAN);
         }
-        Arrays.fill(bytes, at, at + ACTION, (byte) 0);
-        bytes[at] = code;
-        buffer.putInt(at + 1, balancer);
-        return at;
+        Arrays.fill(frameBytes, recordOffset, recordOffset + ACTION_RECORD_BYTES, (byte) 0);
+        frameBytes[recordOffset] = actionCode;
+        frameBuffer.putInt(recordOffset + 1, balancerId);
+        return recordOffset;
     }
 
-    /** The actions of one instance. */
-    Api.Actions of(int balancer) {
+    /** Returns the actions of one balancer; each call adds a record to the frame. */
+    Api.Actions actionsFor(int balancerId) {
         return new Api.Actions() {
             @Override
-            public void send(long request, long server, long cutAt) {
-                int at = record(SEND, balancer);
-                buffer.putLong(at + 5, request);
-                buffer.putLong(at + 13, cutAt);
-                buffer.putInt(at + 21, (int) server);
-                buffer.putShort(at + 25, (short) (server >>> 32));
+            public void send(long requestId, long serverId, long attemptDeadline) {
+                int recordOffset = appendRecord(ACTION_SEND, balancerId);
+                frameBuffer.putLong(recordOffset + 5, requestId);
+                frameBuffer.putLong(recordOffset + 13, attemptDeadline);
+                frameBuffer.putInt(recordOffset + 21, (int) serverId);
+                frameBuffer.putShort(recordOffset + 25, (short) (serverId >>> 32));
             }
 
             @Override
-            public void cancel(long request, int attempt) {
-                int at = record(CANCEL, balancer);
-                buffer.putLong(at + 5, request);
-                buffer.putShort(at + 13, (short) attempt);
+            public void cancel(long requestId, int attempt) {
+                int recordOffset = appendRecord(ACTION_CANCEL, balancerId);
+                frameBuffer.putLong(recordOffset + 5, requestId);
+                frameBuffer.putShort(recordOffset + 13, (short) attempt);
             }
 
             @Override
-            public void refuse(long request, long retryAfter) {
-                int at = record(REFUSE, balancer);
-                buffer.putLong(at + 5, request);
-                buffer.putLong(at + 13, retryAfter);
+            public void refuse(long requestId, long retryAfterNs) {
+                int recordOffset = appendRecord(ACTION_REFUSE, balancerId);
+                frameBuffer.putLong(recordOffset + 5, requestId);
+                frameBuffer.putLong(recordOffset + 13, retryAfterNs);
             }
 
             @Override
-            public void fail(long request) {
-                int at = record(FAIL, balancer);
-                buffer.putLong(at + 5, request);
+            public void fail(long requestId) {
+                int recordOffset = appendRecord(ACTION_FAIL, balancerId);
+                frameBuffer.putLong(recordOffset + 5, requestId);
             }
 
             @Override
-            public void scheduleTimer(long moment, int token) {
-                int at = record(WAKE, balancer);
-                buffer.putLong(at + 5, moment);
-                buffer.putInt(at + 13, token);
+            public void scheduleTimer(long dueAt, int token) {
+                int recordOffset = appendRecord(ACTION_SET_TIMER, balancerId);
+                frameBuffer.putLong(recordOffset + 5, dueAt);
+                frameBuffer.putInt(recordOffset + 13, token);
             }
 
             @Override
-            public void closeIdleConnections(long server) {
-                int at = record(CLOSE_IDLE, balancer);
-                buffer.putInt(at + 5, (int) server);
-                buffer.putShort(at + 9, (short) (server >>> 32));
+            public void closeIdleConnections(long serverId) {
+                int recordOffset = appendRecord(ACTION_CLOSE_IDLE, balancerId);
+                frameBuffer.putInt(recordOffset + 5, (int) serverId);
+                frameBuffer.putShort(recordOffset + 9, (short) (serverId >>> 32));
             }
 
             @Override
             public void subscribe() {
-                int at = record(SUBSCRIBE, balancer);
-                bytes[at + 5] = 1;
+                int recordOffset = appendRecord(ACTION_SUBSCRIBE, balancerId);
+                frameBytes[recordOffset + 5] = 1;
             }
         };
     }
