--- a/src/main/java/eiderscale/Admission.java
+++ b/src/main/java/eiderscale/Admission.java
@@ -36,45 +36,45 @@
     private static final double MIN_SLOW_GOAL_FRACTION = 0.45;
     private static final double MAX_SLOW_GOAL_FRACTION = 0.9;
     /**
-     * Ratio to the median read latency from which on an attempt counts as slow. At the median itself, chance
-     * alone would make as many slow signals as fast ones.
+     * Ratio to the baseline median read latency from which on an attempt counts as slow. At the median
+     * itself, chance alone would make as many slow signals as fast ones.
      */
     private static final double SLOW_TO_MEDIAN_RATIO = 1.1;
-    /** Load signals, as weights relative to a fast answer: negative ones lower the admit rate. */
-    static final double FAST_ANSWER_SIGNAL = 1;
+    /** Load signals, as weights relative to a fast response: negative ones lower the admit rate. */
+    static final double FAST_RESPONSE_SIGNAL = 1;
     static final double REJECTION_SIGNAL = -3;
     static final double SLOW_ATTEMPT_SIGNAL = -1;
     private static final double MIN_ADMIT_RATE = 0.05;
-    /** Samples over which the time of ordered attempts is averaged (EWMA with the weight 1/n). */
-    private static final int ORDERED_EWMA_SAMPLES = 8;
+    /** Samples over which the time of serial requests' attempts is averaged (EWMA with the weight 1/n). */
+    private static final int SERIAL_EWMA_SAMPLES = 8;
     /** Samples over which the in-flight baseline is averaged (EWMA with the weight 1/n). */
     private static final int BASELINE_EWMA_SAMPLES = 256;
 
     private final Settings settings;
     /**
-     * Admit rate, from {@link #MIN_ORIGIN_ADMIT_RATE} to 1, of what may burden the origin: writes, retries
-     * and hedged requests, and the balancer's own reads from the origin.
+     * Admit rate, from {@link #MIN_ORIGIN_ADMIT_RATE} to 1, of what may burden the origin: writes, hedges and
+     * retries after errors at read-through caches, and the balancer's own reads from the origin.
      */
     private double originAdmitRate = 1;
     /** Admit rate, from {@link #MIN_ADMIT_RATE} to 1; see {@link #shouldShed} for what is shed. */
     private double admitRate = 1;
     private long lastSignalAt;
-    /** Mean number of our attempts in flight at caches when these answer fast and little is shed. */
+    /** Mean number of our attempts in flight at caches when these respond fast and little is shed. */
     private double baselineInFlight;
     /** Number of samples in {@link #baselineInFlight}, up to {@link #BASELINE_EWMA_SAMPLES}. */
     private int baselineSamples;
     /**
-     * Load signals since the last call of {@link #gauges}: fast answers, slow attempts, rejections (and
+     * Load signals since the last call of {@link #gauges}: fast responses, slow attempts, rejections (and
      * signals of 0).
      */
     private final int[] signalCounts = new int[3];
     /** Median latency of reads while little is shed; 0 until it is known. */
     private long baselineReadLatencyNs;
     /**
-     * EWMA of the time that an attempt of an ordered request takes. Requests of ordered classes with the same
-     * key run one at a time, so that is how long each keeps the others waiting.
+     * EWMA of the time that an attempt of a serial request takes. Requests of serial classes with the same
+     * key run one at a time, so this is how long each keeps the others waiting.
      */
-    long meanOrderedAttemptNs;
+    long meanSerialAttemptNs;
     /** Token bucket of each tenant, as of its {@code tokensRefilledAt}. */
     private final double[] tenantTokens;
     private final long[] tokensRefilledAt;
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Adjusts the admit rate to a load signal: a cache answered fast, rejected an attempt, or has not
-     * answered one for long. Half fast answers and half slow attempts balance, so that lost answers alone
+     * Adjusts the admit rate to a load signal: a cache responded fast, rejected an attempt, or has not
+     * responded for long. Half fast responses and half slow attempts balance, so that lost responses alone
      * shed nothing. Shedding keeps congestion from outlasting its cause, which it does where servers slow
      * down under load.
      *
@@ -108,7 +108,7 @@
      * Below that they are caused by slow work or by a single full host, which shedding does not cure, and the
      * admit rate would stay low although the fleet is idle.
      *
-     * @param signal one of the constants, or 0 to leave the rate as it is
+     * @param signal one of the load signal constants, or 0 to leave the rate as it is
      * @param cacheAttemptsInFlight our attempts in flight at all caches
      */
     void onLoadSignal(long now, double signal, int cacheAttemptsInFlight) {
@@ -133,14 +133,14 @@
      * be shed although the fleet is merely no faster.
      */
     long slowThresholdNs(RequestClass requestClass) {
-        double overMedian = Math.min(requestClass.goalTimeNs() * MAX_SLOW_GOAL_FRACTION,
+        double aboveMedianNs = Math.min(requestClass.goalTimeNs() * MAX_SLOW_GOAL_FRACTION,
                 baselineReadLatencyNs * SLOW_TO_MEDIAN_RATIO);
-        return (long) Math.max(requestClass.goalTimeNs() * MIN_SLOW_GOAL_FRACTION, overMedian);
+        return (long) Math.max(requestClass.goalTimeNs() * MIN_SLOW_GOAL_FRACTION, aboveMedianNs);
     }
 
     /**
-     * Records the recent median latency of reads. Under overload only the first one is used, as later ones
-     * are not normal.
+     * Records the recent median latency of reads. Under overload only the first known value is used, as
+     * others are not normal.
      */
     void updateReadLatency(long medianNs) {
         baselineReadLatencyNs = baselineReadLatencyNs == 0 || !isOverloaded() ? medianNs
@@ -190,9 +190,9 @@
         return random < (isWrite ? Math.sqrt(originAdmitRate) : originAdmitRate);
     }
 
-    /** Records how long an attempt of an ordered request took; not called for attempts that never ran. */
-    void recordOrderedAttempt(long elapsedNs) {
-        meanOrderedAttemptNs += (elapsedNs - meanOrderedAttemptNs) / ORDERED_EWMA_SAMPLES;
+    /** Records how long an attempt of a serial request took; not called for attempts that never ran. */
+    void recordSerialAttempt(long elapsedNs) {
+        meanSerialAttemptNs += (elapsedNs - meanSerialAttemptNs) / SERIAL_EWMA_SAMPLES;
     }
 
     /**
--- a/src/main/java/eiderscale/Api.java
+++ b/src/main/java/eiderscale/Api.java
@@ -64,13 +64,13 @@
 
     /** How an attempt ended. */
     public enum Reason {
-        /** The server executed the request and answered; from a cache in cache-aside mode, a hit. */
+        /** The server executed the request and responded; from a cache in cache-aside mode, a hit. */
         OK(false),
-        /** The server answered that the request failed; it may have been executed. */
+        /** The server responded that the request failed; it may have been executed. */
         ERROR(false),
         /** The server was too busy and refused the request unexecuted. */
         REJECTED(true),
-        /** No answer by the attempt's deadline. */
+        /** No response by the attempt's deadline. */
         TIMEOUT(false),
         /** The request was not sent completely: no connection came up in time, or it broke before. */
         CONNECT_FAILED(true),
@@ -95,7 +95,7 @@
             return this == TIMEOUT || this == RESET || this == CANCELLED;
         }
 
-        /** Whether the server worked as it should: it served the request, or answered that it was a miss. */
+        /** Whether the server worked as it should: it served the request, or responded that it was a miss. */
         public boolean isSuccess() {
             return this == OK || this == MISS;
         }
@@ -104,17 +104,17 @@
     /**
      * A class of requests with the same goals and constraints.
      *
-     * @param goalTimeNs time from arrival within which an answer has its full value, at least 1
+     * @param goalTimeNs time from arrival within which a reply has its full value, at least 1
      * @param goalTimePerWork added goal time per nanosecond of {@link Request#workHintNs}, 0 or more
-     * @param timeoutNs longest time that clients wait for an answer; not used by the router, as each request
+     * @param timeoutNs longest time that clients wait for a reply; not used by the router, as each request
      *         has its own deadline
-     * @param onTimeValue relative value of an answer within the goal time; not used by the router
-     * @param lateValue relative value of an answer after the goal time; if 0, the router gives up then
+     * @param onTimeValue relative value of a reply within the goal time; not used by the router
+     * @param lateValue relative value of a reply after the goal time; if 0, the router gives up then
      * @param effect what repeated execution means
      * @param dedupScope the servers that drop each other's repeats, for {@link Effect#DEDUPLICATED}
      * @param dedupWindowNs how long after the first attempt that may have been executed a repeat is dropped,
      *         from sending to sending, for {@link Effect#DEDUPLICATED}
-     * @param isStreamed whether answers are streamed: the goal time does not end such a request
+     * @param isStreamed whether responses are streamed: the goal time does not end such a request
      * @param isSerialByKey whether requests with the same key must run one at a time, in order of arrival
      */
     public record RequestClass(long goalTimeNs, double goalTimePerWork, long timeoutNs, double onTimeValue,
@@ -182,7 +182,7 @@
      * @param overloadMultiple more than this multiple of the load that matches its present capacity, within
      *         {@code overloadWindowNs}, overloads a server in slow start
      * @param overloadWindowNs time over which that load counts, at least 1
-     * @param overShareValue relative value of answers to requests over their tenant's share; not used by the
+     * @param overShareValue relative value of replies to requests over their tenant's share; not used by the
      *         router
      * @param keyCooldownNs how long no other request with the same key starts after an attempt of a serial
      *         class that may still be running
@@ -209,7 +209,7 @@
      * @param cell the cell that it is in
      * @param state whether it may get requests
      * @param weight its capacity compared with other servers; 0 or less counts as 1
-     * @param startedAt when it started, by the wall clock of the list's author; 0 if unknown
+     * @param startedAt when it started, in nanoseconds by the wall clock of the list's author; 0 if unknown
      */
     public record Server(long id, int zone, int kind, int cell, State state, double weight, long startedAt) {
     }
@@ -221,7 +221,7 @@
      * @param classIndex index into {@link Settings#requestClasses}
      * @param tenantIndex index into {@link Settings#tenants}, 0 or more
      * @param key its key as a number, the same at all instances; 0 if it has none
-     * @param deadline latest instant for the final answer
+     * @param deadline latest instant for the final reply
      * @param workHintNs expected work; 0 if unknown
      * @param isClientRetry whether the client has sent it before; not used by the router
      * @param isWrite whether it is a write, not a read
@@ -237,7 +237,7 @@
      * @param attemptIndex which attempt of the request, numbered from 0 in the order of {@link Actions#send}
      * @param reason how it ended
      * @param durationNs time since it was sent; not used by the router, which measures on the events' clock
-     * @param isRequestClosed whether the request needs no further attempt: its final answer has been sent, or
+     * @param isRequestClosed whether the request needs no further attempt: its final reply has been sent, or
      *         its client is gone
      * @param loadReport the server's load report in the order of {@link Settings#loadReportLayout}, empty if
      *         there is none; not used by the router
@@ -252,9 +252,9 @@
         void onServerList(long now, ListMode mode, List<Server> servers);
 
         /**
-         * A client request has arrived. Exactly one final answer follows, at once or during a later event,
-         * unless the client disconnects first: {@link Actions#refuse}, {@link Actions#fail}, or the answer of
-         * an attempt, which the caller reports with {@link AttemptOutcome#isRequestClosed}.
+         * A client request has arrived. Exactly one final reply follows, at once or during a later event,
+         * unless the client disconnects first: {@link Actions#refuse}, {@link Actions#fail}, or the response
+         * to an attempt, which the caller reports with {@link AttemptOutcome#isRequestClosed}.
          *
          * @throws IndexOutOfBoundsException if the settings have no such request class
          */
@@ -263,18 +263,18 @@
         /** An attempt has ended; due once for each {@link Actions#send}. Unknown attempts are ignored. */
         void onAttemptOutcome(long now, AttemptOutcome outcome);
 
-        /** The first byte of a streamed answer has arrived; the other attempts are cancelled. */
+        /** The first byte of a streamed response has arrived; the other attempts are cancelled. */
         void onFirstByte(long now, long requestId, int attemptIndex);
 
-        /** The client of a request has disconnected: no answer is needed any more. */
+        /** The client of a request has disconnected: no reply is needed any more. */
         void onClientGone(long now, long requestId);
 
         /** A timer is due; {@code token} is the one passed to {@link Actions#scheduleTimer}. */
         void onTimer(long now, int token);
 
         /**
-         * A one-line description of the module's present state, for the log. It covers some counts since the
-         * call before, which it resets.
+         * Describes the module's present state in one line, for the log. The line contains some counts since
+         * the previous call, which are reset.
          */
         String gauges();
     }
@@ -282,7 +282,7 @@
     /** The actions that the module asks of its caller. */
     public interface Actions {
         /**
-         * Sends the next attempt of a request. Without an answer by {@code attemptDeadline} the caller
+         * Sends the next attempt of a request. Without a response by {@code attemptDeadline} the caller
          * abandons it and reports its end. A request's attempts are numbered from 0 in the order of these
          * calls.
          */
@@ -292,13 +292,13 @@
         void cancel(long requestId, int attemptIndex);
 
         /**
-         * Sends the client the final answer that the request was refused. A retry by the client is safe.
+         * Sends the client the final reply that the request was refused. A retry by the client is safe.
          *
          * @param retryAfterNs time after which the client should retry; 0 if it is not told a time
          */
         void refuse(long requestId, long retryAfterNs);
 
-        /** Sends the client the final answer that the request failed; it may have been executed. */
+        /** Sends the client the final reply that the request failed; it may have been executed. */
         void fail(long requestId);
 
         /**
--- a/src/main/java/eiderscale/Candidates.java
+++ b/src/main/java/eiderscale/Candidates.java
@@ -40,11 +40,14 @@
     int count;
     /** How many of {@link #rankedHosts}, from the first on, are candidates; the rest are fallback hosts. */
     int candidateCount;
-    /** Rendezvous distances of {@link #rankedHosts}. */
+    /** Rendezvous distances of {@link #rankedHosts}, see {@link #rankHosts}. */
     private final double[] rankedDistances = new double[MAX_CANDIDATES + FALLBACK_HOSTS];
+    /** The key that each slot of the hot-key counter table counts. */
     private final long[] counterKeys = new long[COUNTER_SLOTS];
     private final int[] counterValues = new int[COUNTER_SLOTS];
+    /** Requests counted in the table; halved together with the counters. */
     private int countedRequests;
+    /** When the counters were last halved. */
     private long halvedAt;
     private final HostHealth health;
 
@@ -62,19 +65,19 @@
         candidateCount = candidateCount(key);
         int limit = candidateCount + FALLBACK_HOSTS;
         count = 0;
-        double worst = Double.MAX_VALUE;
+        double distanceLimit = Double.MAX_VALUE;
         Host[] hosts = health.caches;
         for (int i = 0; i < health.cacheCount; i++) {
             Host host = hosts[i];
             long hash = mix64(key ^ host.hashSalt);
             double unitHash = toUnitInterval(hash);
-            double inverseWeight = host.inOwnZone ? host.inverseWeight / ownZoneFactor : host.inverseWeight;
+            double inverseWeight = host.isInOwnZone ? host.inverseWeight / ownZoneFactor : host.inverseWeight;
             // Since x <= -ln(1 - x), this lower bound of the distance rejects most hosts without a logarithm.
-            if (unitHash * inverseWeight >= worst) {
+            if (unitHash * inverseWeight >= distanceLimit) {
                 continue;
             }
             double distance = -Math.log1p(-unitHash) * inverseWeight;
-            if (distance >= worst || !health.isEligible(now, host, hash)) {
+            if (distance >= distanceLimit || !health.isEligible(now, host, hash)) {
                 continue;
             }
             int position = count < limit ? count++ : limit - 1;
@@ -86,7 +89,7 @@
             rankedDistances[position] = distance;
             rankedHosts[position] = host;
             if (count == limit) {
-                worst = rankedDistances[limit - 1];
+                distanceLimit = rankedDistances[limit - 1];
             }
         }
     }
@@ -116,9 +119,9 @@
     }
 
     /**
-     * How many candidates a key has: in proportion to its share of our traffic, so that a hot key does not
-     * overload its two default hosts. Two of its requests are left out of the share, so that a key seen once
-     * or twice does not count as hot.
+     * Returns how many candidates a key has: in proportion to its share of our traffic, so that a hot key
+     * does not overload its two default hosts. Two of its requests are left out of the share, so that a key
+     * seen once or twice does not count as hot.
      */
     private int candidateCount(long key) {
         int slot = counterSlot(key);
@@ -135,8 +138,8 @@
      * failure outlier counts as having {@link #OUTLIER_IN_FLIGHT_PENALTY} more. Among equals the first in the
      * ranking is selected, unless it is slower than a later one.
      *
-     * @param preferOwnZone prefer an idle candidate in our own zone to an idle one in another zone, unless it
-     *     is slower: traffic between zones takes time and costs money
+     * @param preferOwnZone whether to prefer an idle candidate in our own zone to an idle one in another
+     *         zone, unless it is slower: traffic between zones takes time and costs money
      */
     Host selectLeastInFlight(long now, boolean preferOwnZone) {
         // With many balancers most in-flight counts are 0 and do not tell hosts apart; latency does.
@@ -145,12 +148,12 @@
         for (int i = 0; i < count && i < candidateCount; i++) {
             int inFlight = rankedHosts[i].inFlight
                     + (health.isFailureOutlier(now, rankedHosts[i]) ? OUTLIER_IN_FLIGHT_PENALTY : 0);
-            boolean isNearer = preferOwnZone && inFlight == 0 && rankedHosts[i].inOwnZone
-                    && best != null && !best.inOwnZone
+            boolean isPreferredForZone = preferOwnZone && inFlight == 0 && rankedHosts[i].isInOwnZone
+                    && best != null && !best.isInOwnZone
                     && rankedHosts[i].latencyNs <= SLOWER_LATENCY_RATIO * best.latencyNs;
             if (best == null || inFlight < fewest
                     || inFlight == fewest && best.latencyNs > SLOWER_LATENCY_RATIO * rankedHosts[i].latencyNs
-                    || inFlight == fewest && isNearer) {
+                    || inFlight == fewest && isPreferredForZone) {
                 best = rankedHosts[i];
                 fewest = inFlight;
             }
@@ -163,10 +166,10 @@
     }
 
     /** The 64-bit finalizer of SplitMix64: each bit of the input affects every bit of the output. */
-    static long mix64(long z) {
-        z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
-        return z ^ (z >>> 31);
+    static long mix64(long bits) {
+        bits = (bits ^ (bits >>> 30)) * 0xbf58476d1ce4e5b9L;
+        bits = (bits ^ (bits >>> 27)) * 0x94d049bb133111ebL;
+        return bits ^ (bits >>> 31);
     }
 
     /** Maps the upper 53 bits of a well mixed number to [0, 1). */
--- a/src/main/java/eiderscale/Hedging.java
+++ b/src/main/java/eiderscale/Hedging.java
@@ -13,6 +13,7 @@
 final class Hedging {
     /** The quantile of recent read latencies after which a read is hedged. */
     private static final double HEDGE_DELAY_QUANTILE = 0.95;
+    /** Compression of the t-digest of read latencies: larger is more accurate and takes more memory. */
     private static final double DIGEST_COMPRESSION = 50;
     /** A digest is replaced by an empty one at this number of samples. */
     private static final int MAX_DIGEST_SAMPLES = 512;
@@ -20,26 +21,25 @@
     private static final long MAX_DIGEST_AGE_NS = 10_000_000_000L;
     /** Fewer samples do not show the tail of the distribution. */
     private static final int MIN_DIGEST_SAMPLES = 32;
-    /** The quantiles are read from the digest each time so many samples were added. */
+    /** The quantiles are read from the digest each time this many samples have been added. */
     private static final int REFRESH_INTERVAL_SAMPLES = 16;
     /** The budget if none is configured. */
     private static final RetryBudget DEFAULT_BUDGET = new RetryBudget(10, 0.2, 5_000_000_000L);
-
     /** The fraction of the default budget up to which hedges are sent; retries made so far count as well. */
     private static final double HEDGE_BUDGET_FRACTION = 0.5;
 
     private TDigest latencyDigest = new MergingDigest(DIGEST_COMPRESSION);
     private long digestStartedAt;
     private int digestSamples;
-    /** 0 until the first digest has enough samples. */
+    /** The {@link #HEDGE_DELAY_QUANTILE} of recent read latencies; 0 until there are enough samples. */
     private long latencyQuantileNs;
-    /** 0 until the first refresh. */
+    /** Median of recent read latencies; 0 until it is first read from the digest. */
     private long medianLatencyNs;
     private final RetryBudget budget;
     private final boolean isBudgetConfigured;
-    /** When the requests within the budget's window were received. */
+    /** When each request within the budget's window was received. */
     private final Deque<Long> requestReceived = new ArrayDeque<>();
-    /** When the hedges and charged retries within the window were sent. */
+    /** When each hedge and charged retry within the window was sent. */
     private final Deque<Long> furtherAttemptTimes = new ArrayDeque<>();
 
     /**
--- a/src/main/java/eiderscale/HostHealth.java
+++ b/src/main/java/eiderscale/HostHealth.java
@@ -14,7 +14,8 @@
 /**
  * What this balancer knows of each host: its entry in the server list, our attempts in flight, latency and
  * failure rate, circuit breaker and slow start. Hosts are caches or, where the balancer itself reads from the
- * origin on a cache miss (mode "aside"), origins; breakers and slow start apply to caches only.
+ * origin on a cache miss (cache-aside mode), origins; breakers and slow start apply to caches only. A host is
+ * called cold during its slow start, and warm afterwards.
  *
  * <p>All times are in nanoseconds. Not thread-safe.
  */
@@ -29,22 +30,23 @@
     /** How long a breaker stays open before it admits a probe, give or take a jitter of 20 %. */
     private static final long BREAKER_OPEN_NS = 1_000_000_000L;
     /**
-     * Fraction used of a cold host's stated limit, which is tip-multiple times its current capacity within a
-     * window of fall-ns (both are settings), by all balancers together.
+     * Fraction of a cold host's overload limit that all balancers together use. The limit is
+     * {@link Settings#overloadMultiple} times its present capacity within {@link Settings#overloadWindowNs}.
      */
     private static final double OVERLOAD_LIMIT_FRACTION = 0.5;
-    /** Time constant over which our send rate is averaged, in windows of fall-ns. */
+    /** Time constant over which our send rate is averaged, in {@link Settings#overloadWindowNs}. */
     private static final double SEND_RATE_WINDOWS = 4;
-    /** Fraction of a window's slow-start tokens that may be spent at once. */
+    /** Fraction of an overload window's slow-start tokens that may be spent at once. */
     private static final double BURST_FRACTION = 0.25;
     /** Weight of one attempt in the fleet-wide failure rates, which are EWMAs. */
     private static final double FLEET_EWMA_WEIGHT = 0.02;
     /** Connect failure rate above which idle connections are closed. Dead hosts alone cause a lower rate. */
     static final double CLOSE_IDLE_CONNECT_FAILURE_RATE = 0.1;
+    /** Upper limit of {@link #balancersPerHost}. */
     private static final double MAX_BALANCERS_PER_HOST = 8;
     /**
-     * Weight of an answer in its host's latency when answers are frequent. It grows with the time since the
-     * previous answer, so that a host that is seldom used is judged by its last answer.
+     * Weight of a response in its host's latency when responses are frequent. It grows with the time since
+     * the previous response, so that a host that is seldom used is judged by its last response.
      */
     private static final double MIN_LATENCY_EWMA_WEIGHT = 0.1;
     /** Time constant by which that weight grows towards 1. */
@@ -69,11 +71,11 @@
         int cell;
         double weight;
         double inverseWeight;
-        boolean inOwnZone;
+        boolean isInOwnZone;
         State state = State.GONE;
         /** Our attempts in flight at this host. */
         int inFlight;
-        /** EWMA of how long its answers and time-outs took, 0 before the first. */
+        /** EWMA of how long its responses and time-outs took, 0 before the first. */
         double latencyNs;
         private long latencyUpdatedAt;
         /**
@@ -82,9 +84,9 @@
          */
         private double failureRate;
         private long failureRateUpdatedAt;
-        /** Connect failures since the host last answered. */
-        private int connectFailuresSinceAnswer;
-        /** Attempts since the last call of {@link #gauges}: answered, rejected, failed. */
+        /** Connect failures since the host's last successful response. */
+        private int connectFailuresSinceResponse;
+        /** Attempts since the last call of {@link #gauges}: succeeded, rejected, failed. */
         private final int[] outcomeCounts = new int[3];
         /** When the host started, as long as its slow start lasts; 0 if it is warm. */
         long slowStartBeganAt;
@@ -95,11 +97,11 @@
         private double failureScore;
         /**
          * When the open circuit breaker becomes half-open and admits a probe; 0 while it is closed. Any
-         * answer or rejection closes and resets the breaker.
+         * success or rejection closes and resets the breaker.
          */
         private long halfOpenAt;
-        /** An attempt was sent while the breaker was open; no probe is admitted until an attempt ends. */
-        private boolean probeInFlight;
+        /** Whether an attempt was sent while the breaker was open; the next probe waits until one ends. */
+        private boolean isProbeInFlight;
 
         Host(long id) {
             this.id = id;
@@ -122,13 +124,16 @@
     private double totalCacheWeight;
     /**
      * Balancers per cache, from 1 to {@link #MAX_BALANCERS_PER_HOST}; used as the factor by which hosts in
-     * our own zone are preferred. Where there are many balancers, a key may be hot although none of them sees
-     * enough of its requests to detect that. Preferring hosts in the own zone spreads such keys over more
-     * hosts.
+     * our own zone are preferred while the origin is fast. Where there are many balancers, a key may be hot
+     * although none of them sees enough of its requests to detect that. Preferring hosts in the own zone
+     * spreads such keys over more hosts.
      */
     double balancersPerHost = 1;
-    /** Panic mode: breakers are ignored, for a single ranking, when they leave no host to choose from. */
-    boolean inPanicMode;
+    /**
+     * Whether hosts are being ranked in panic mode: if the regular ranking left no host to choose from, it is
+     * repeated with breakers ignored and the limits of slow start relaxed.
+     */
+    boolean isInPanicMode;
     /** Decayed count of requests' first sends to caches, see {@link #recordFirstSend}. */
     private double recentFirstSends;
     private long recentFirstSendsUpdatedAt;
@@ -161,7 +166,7 @@
             Host host = hostsById.computeIfAbsent(server.id(), Host::new);
             boolean hasRestarted = startTimes.recordReportedStart(server.id(), server.startedAt());
             host.zone = server.zone();
-            host.inOwnZone = host.zone == settings.zone();
+            host.isInOwnZone = host.zone == settings.zone();
             host.kind = server.kind();
             host.cell = server.cell();
             host.weight = server.weight() > 0 ? server.weight() : 1;
@@ -210,7 +215,7 @@
      * @param hash the hash of key and host combined
      */
     boolean isEligible(long now, Host host, long hash) {
-        if (!inPanicMode && host.halfOpenAt != 0 && (now < host.halfOpenAt || host.probeInFlight)) {
+        if (!isInPanicMode && host.halfOpenAt != 0 && (now < host.halfOpenAt || host.isProbeInFlight)) {
             return false;
         }
         if (host.slowStartBeganAt == 0) {
@@ -221,11 +226,11 @@
             host.slowStartBeganAt = 0;
             return true;
         }
-        // Every balancer sends the same keys, so that all of them together stay within the capacity.
-        return ((hash & 2047) < capacity * 2048 || inPanicMode) && hasSlowStartToken(now, host, capacity);
+        // All balancers send a cold host the same keys, so that together they stay within its capacity.
+        return ((hash & 2047) < capacity * 2048 || isInPanicMode) && hasSlowStartToken(now, host, capacity);
     }
 
-    /** The least that a cold host can serve, as a fraction of its full capacity: grows linearly to 1. */
+    /** The present capacity of a cold host, as a fraction of its full capacity: grows linearly to 1. */
     private double slowStartCapacity(long now, Host host) {
         double elapsedFraction = Math.max(0.0, now - host.slowStartBeganAt)
                 / Math.max(1, settings.slowStartNs());
@@ -240,8 +245,8 @@
      * with few requests each would send their first one at once.
      */
     private boolean hasSlowStartToken(long now, Host host, double capacity) {
-        // Weights may follow the load, so that an idle new host looks many times its size: it counts as
-        // average at most.
+        // Weights may be derived from the load, which makes an idle new host seem many times its size: it
+        // counts as average at most.
         double portion = Math.min(host.weight / Math.max(totalCacheWeight, 1e-9),
                 1.0 / Math.max(1, cacheCount));
         double tokensPerWindow = capacity * settings.overloadMultiple() * OVERLOAD_LIMIT_FRACTION
@@ -253,12 +258,12 @@
         host.slowStartTokens += tokensPerWindow * (now - host.tokensRefilledAt) / settings.overloadWindowNs();
         host.slowStartTokens = Math.min(bucketSize, host.slowStartTokens);
         host.tokensRefilledAt = now;
-        return host.slowStartTokens >= (inPanicMode ? 0 : 1);
+        return host.slowStartTokens >= (isInPanicMode ? 0 : 1);
     }
 
     /**
-     * Recent first sends per window of fall-ns. A new balancer has observed only a part of the averaging
-     * time; the divisor corrects for that.
+     * Recent first sends per overload window. A new balancer has observed only a part of the averaging time;
+     * the divisor corrects for that.
      */
     private double firstSendsPerWindow(long now) {
         double timeConstant = SEND_RATE_WINDOWS * settings.overloadWindowNs();
@@ -295,7 +300,7 @@
         host.inFlight++;
         cacheAttemptsInFlight += isOrigin(host) ? 0 : 1;
         host.slowStartTokens -= host.slowStartBeganAt != 0 ? 1 : 0;
-        host.probeInFlight |= host.halfOpenAt != 0;
+        host.isProbeInFlight |= host.halfOpenAt != 0;
     }
 
     /** Updates the host's latency, failure rate and breaker; the attempt took {@code elapsedNs}. */
@@ -333,23 +338,24 @@
             // hold them.
             recordFailure(now, host, -Math.log(Math.max(MIN_FLEET_FAILURE_RATE, fleetFailureRate)));
         }
-        host.probeInFlight = false;
+        host.isProbeInFlight = false;
     }
 
     /**
-     * A host that answers although an attempt since its last answer got no connection is live, and its
-     * connection table is full. If its breaker opened meanwhile it may as well have been dead, and is not
-     * counted: idle connections to other hosts do not fill the table of a dead one.
+     * Updates the connect failure rate with the end of an attempt. A host that responds although an attempt
+     * since its last response got no connection is live, and its connection table is full. If its breaker
+     * opened meanwhile it may as well have been dead, and is not counted: idle connections to other hosts do
+     * not fill the table of a dead one.
      */
     private void updateConnectFailureRate(Host host, Reason reason) {
         if (reason == Reason.CONNECT_FAILED) {
-            host.connectFailuresSinceAnswer++;
+            host.connectFailuresSinceResponse++;
         } else if (reason.isSuccess()) {
-            if (host.halfOpenAt == 0 && host.connectFailuresSinceAnswer > 0) {
+            if (host.halfOpenAt == 0 && host.connectFailuresSinceResponse > 0) {
                 connectFailureRate += FLEET_EWMA_WEIGHT * (1 - connectFailureRate);
             }
             connectFailureRate *= 1 - FLEET_EWMA_WEIGHT;
-            host.connectFailuresSinceAnswer = 0;
+            host.connectFailuresSinceResponse = 0;
         }
     }
 
@@ -374,7 +380,7 @@
     /** Adds to the failure score; opens the breaker at the threshold, and again after a failed probe. */
     private void recordFailure(long now, Host host, double score) {
         host.failureScore += score;
-        if (host.failureScore >= BREAKER_OPEN_SCORE && (host.halfOpenAt == 0 || host.probeInFlight)) {
+        if (host.failureScore >= BREAKER_OPEN_SCORE && (host.halfOpenAt == 0 || host.isProbeInFlight)) {
             host.halfOpenAt = now + (long) (BREAKER_OPEN_NS * (0.8 + 0.4 * nextRandom()));
         }
     }
@@ -391,7 +397,7 @@
             coldHosts += host.slowStartBeganAt != 0 ? 1 : 0;
             outliers += host.failureRate > fleetFailureRate + OUTLIER_FAILURE_RATE_MARGIN ? 1 : 0;
             int[] counts = host.outcomeCounts;
-            perHost.append(host.inOwnZone ? " *" : " ").append(host.inFlight).append('+').append(counts[0])
+            perHost.append(host.isInOwnZone ? " *" : " ").append(host.inFlight).append('+').append(counts[0])
                     .append('/').append(counts[1]).append('/').append(counts[2])
                     .append('@').append((long) (host.latencyNs / 1e6));
             Arrays.fill(counts, 0);
--- a/src/main/java/eiderscale/KeyOrder.java
+++ b/src/main/java/eiderscale/KeyOrder.java
@@ -12,7 +12,7 @@
  * @param <T> the type of a request, which must not override {@code equals}
  */
 final class KeyOrder<T> {
-    /** After so many enqueued requests, keys without requests or cooldown are forgotten. */
+    /** Keys without requests or cooldown are removed each time this many requests have been enqueued. */
     private static final int SWEEP_INTERVAL_REQUESTS = 256;
 
     /** The requests of one key that have not ended, the running one first, and the key's cooldown. */
@@ -26,7 +26,7 @@
     private int enqueuedRequests;
 
     /**
-     * Creates an empty order.
+     * Creates an order without requests.
      *
      * @param cooldownNs how long no request with a key starts after an attempt that may still be running
      */
--- a/src/main/java/eiderscale/Router.java
+++ b/src/main/java/eiderscale/Router.java
@@ -24,7 +24,7 @@
  * The decision module: chooses a server for each attempt of a request, decides on hedges, retries, refusals
  * and failures, and schedules subscriptions to the server list. See {@link Api} for threading, clock, units.
  *
- * <p>What holds for every request: it gets exactly one final answer unless its client disconnects first; a
+ * <p>What holds for every request: it gets exactly one final reply unless its client disconnects first; a
  * further attempt is sent only if it cannot cause a second effect ({@link #isResendSafe}); it is refused only
  * if a retry by the client is safe ({@link #isRefusalSafe}); requests with the same key run one at a time if
  * their class asks for it ({@link KeyOrder}); hedges and retries are limited by a budget ({@link Hedging}).
@@ -44,9 +44,9 @@
     /** Fraction of {@link Settings#subscribeWithinNs} over which the instances' subscriptions are spread. */
     private static final double SUBSCRIBE_SPREAD_FRACTION = 0.5;
     /**
-     * Longest wait for the next call to discovery after a failed one. Changes count as known to this instance
-     * 6 s after discovery became reachable again: a third of that each is for this wait, for a wait in
-     * discovery's queue that ends with a refusal, and for the call after that.
+     * Longest wait for the next call to discovery after a failed one. An instance is expected to know of
+     * changes 6 s after discovery has become reachable again: a third of that each is for this wait, for a
+     * wait in discovery's queue that ends with a refusal, and for the call after that.
      */
     private static final double MAX_RESUBSCRIBE_PERIOD_NS = 6e9 / 3;
     /** An origin whose mean latency is below this fraction of the goal time counts as having room. */
@@ -59,7 +59,7 @@
         final Host host;
         final long sentAt;
         boolean isPending = true;
-        /** Known not to have been executed; false while the attempt is pending. */
+        /** Whether it is known not to have been executed; false while the attempt is pending. */
         boolean neverExecuted;
 
         Attempt(Host host, long sentAt) {
@@ -72,25 +72,34 @@
     private static final class InFlightRequest {
         final Request request;
         final RequestClass requestClass;
-        /** When an answer loses its value: at the goal time if late answers have none, else the deadline. */
+        /**
+         * When a reply loses its value: at the goal time if late replies have none and the class is not
+         * streamed, else at the deadline.
+         */
         final long effectiveDeadline;
         final Attempt[] attempts;
+        /** Attempts sent so far: the first elements of {@link #attempts}. */
         int sentAttempts;
+        /** Sent attempts whose outcome has not been reported. */
         int pendingAttempts;
-        int rejectedByCaches;
-        /** Has had its final answer, or its client is gone; attempts may still be pending. */
+        /** Attempts that ended because a cache was too busy. */
+        int cacheRejections;
+        /** Whether it has had its final reply, or its client is gone; attempts may still be pending. */
         boolean isEnded;
-        /** Missed at a cache, or was sent to the origin: it is not hedged. */
+        /** Whether it missed at a cache or was sent to the origin: then it is not hedged. */
         boolean needsOrigin;
-        /** The first byte of a streamed answer has arrived. */
+        /** Whether the first byte of a streamed response has arrived. */
         boolean isStreaming;
-        /** Has not been sent yet, as earlier requests with its key have not ended. */
+        /** Whether its first attempt waits for earlier requests with its key, or for the key's cooldown. */
         boolean isWaitingForKey;
-        /** When the hedge is due. */
+        /** When its hedge is due. */
         long hedgeAt = NEVER;
-        /** When the request, if still unanswered, is reported to admission control as slow. */
+        /** When the request, if it still has no reply, is reported to admission control as slow. */
         long slowSignalAt = NEVER;
-        /** When its timer is due: the earlier of the two; while it waits for its key, the end of the wait. */
+        /**
+         * When its timer is due: at the earlier of {@link #hedgeAt} and {@link #slowSignalAt}, or, while it
+         * waits for its key, at the end of the key's cooldown or at the effective deadline.
+         */
         long timerAt;
 
         InFlightRequest(Request request, RequestClass requestClass, long now, int maxAttempts) {
@@ -103,19 +112,19 @@
             this.attempts = new Attempt[maxAttempts];
         }
 
-        /** The earliest attempt that is not known never to have been executed, or null. */
+        /** The earliest attempt that may have been executed or still be executed, or null. */
         Attempt firstPossiblyExecutedAttempt() {
             return Arrays.stream(attempts, 0, sentAttempts).filter(a -> !a.neverExecuted).findFirst()
                     .orElse(null);
         }
 
-        /** Whether it runs alone among the requests with its key. */
+        /** Whether it must not run at the same time as another request with its key. */
         boolean isSerialByKey() {
             return requestClass.isSerialByKey() && request.key() != 0;
         }
     }
 
-    /** A timer of a request; stale once the request has ended or has set another timer. */
+    /** A timer of a request; stale once the request has ended or has another due time. */
     private record RequestTimer(long dueAt, InFlightRequest inFlight) {
         boolean isStale() {
             return inFlight.isEnded || inFlight.timerAt != dueAt;
@@ -132,17 +141,17 @@
     private final KeyOrder<InFlightRequest> keyOrder;
     private final PriorityQueue<RequestTimer> requestTimers = new PriorityQueue<>(
             Comparator.comparingLong(RequestTimer::dueAt)
-                    .thenComparingLong(requestTimer -> requestTimer.inFlight.request.id()));
-    /** Waiting requests that are first for their key now that another one has ended. */
+                    .thenComparingLong(timer -> timer.inFlight.request.id()));
+    /** Requests that waited for their key and are its first one, now that another one has ended. */
     private final Deque<InFlightRequest> unblockedRequests = new ArrayDeque<>();
     /** Whether {@link #endRequest} is emptying {@link #unblockedRequests} further up the call stack. */
     private boolean isStartingUnblocked;
     private final int maxAttempts;
-    /** The due time of the last timer asked of {@link #actions} for requests. */
+    /** The due time of the last timer with {@link #REQUEST_TIMER_TOKEN} asked of {@link #actions}. */
     private long nextTimerAt;
     /**
      * This instance's position in the period over which all instances spread their subscriptions, in [0, 1):
-     * the slot of its rank, at random within the slot.
+     * each rank has a slot of the period, and the position within the slot is random.
      */
     private final double subscribePhase;
 
@@ -176,8 +185,8 @@
 
     /**
      * Schedules a subscription so that the instances' calls to discovery are spread out. After a failure it
-     * is due at the instance's fixed phase of a period on the clock that all instances share, so the calls
-     * stay spread however often and whenever they fail.
+     * is due at the instance's fixed phase of a period on the clock that all instances share, so that the
+     * calls stay spread however often and whenever they fail.
      */
     private void scheduleSubscribe(long now, boolean hasFailed) {
         double maxSpreadNs = settings.subscribeWithinNs() * SUBSCRIBE_SPREAD_FRACTION;
@@ -211,10 +220,10 @@
             sendFirstAttempt(now, inFlight);
             return;
         }
-        // A request expected to wait past its effective deadline is refused at once: without that, the queue
-        // of a key could grow without bound.
+        // A request that is expected to wait past its effective deadline is refused at once: otherwise the
+        // queue of a key could grow without bound.
         inFlight.isWaitingForKey = true;
-        if (now + keyOrder.enqueue(now, request.key(), inFlight) * admission.meanOrderedAttemptNs
+        if (now + keyOrder.enqueue(now, request.key(), inFlight) * admission.meanSerialAttemptNs
                 < inFlight.effectiveDeadline) {
             startOrExpire(now, inFlight);
         } else {
@@ -263,19 +272,19 @@
     }
 
     /**
-     * Fills {@link #candidates} for the request. If no host admits it, tries again in panic mode, which
-     * ignores circuit breakers and relaxes the limits of slow start.
+     * Ranks the hosts for the request in {@link #candidates}. If none is eligible, does so again in panic
+     * mode, which ignores circuit breakers and relaxes the limits of slow start.
      */
     private void findCandidates(long now, InFlightRequest inFlight) {
         // Requests without a key are spread over all hosts.
         long key = inFlight.request.key() != 0
                 ? inFlight.request.key() : Candidates.mix64(inFlight.request.id());
-        health.inPanicMode = false;
-        double nearness = isOriginFast(inFlight) ? health.balancersPerHost : 1;
-        candidates.rankHosts(now, key, nearness);
+        health.isInPanicMode = false;
+        double ownZoneFactor = isOriginFast(inFlight) ? health.balancersPerHost : 1;
+        candidates.rankHosts(now, key, ownZoneFactor);
         if (candidates.count == 0) {
-            health.inPanicMode = true;
-            candidates.rankHosts(now, key, nearness);
+            health.isInPanicMode = true;
+            candidates.rankHosts(now, key, ownZoneFactor);
         }
     }
 
@@ -305,10 +314,10 @@
     }
 
     /** Replaces the request's timer; {@link #NEVER} leaves it without one. */
-    private void setRequestTimer(long now, InFlightRequest inFlight, long at) {
-        inFlight.timerAt = at;
-        if (at != NEVER) {
-            requestTimers.add(new RequestTimer(at, inFlight));
+    private void setRequestTimer(long now, InFlightRequest inFlight, long dueAt) {
+        inFlight.timerAt = dueAt;
+        if (dueAt != NEVER) {
+            requestTimers.add(new RequestTimer(dueAt, inFlight));
         }
         scheduleNextTimer(now);
     }
@@ -331,11 +340,11 @@
             return;
         }
         while (!requestTimers.isEmpty() && requestTimers.peek().dueAt <= now) {
-            RequestTimer requestTimer = requestTimers.poll();
-            if (!requestTimer.isStale() && requestTimer.inFlight.isWaitingForKey) {
-                startOrExpire(now, requestTimer.inFlight);
-            } else if (!requestTimer.isStale()) {
-                onRequestTimer(now, requestTimer.inFlight);
+            RequestTimer timer = requestTimers.poll();
+            if (!timer.isStale() && timer.inFlight.isWaitingForKey) {
+                startOrExpire(now, timer.inFlight);
+            } else if (!timer.isStale()) {
+                onRequestTimer(now, timer.inFlight);
             }
         }
         scheduleNextTimer(now);
@@ -347,7 +356,7 @@
                 + health.gauges();
     }
 
-    /** A request is still unanswered: it is reported as slow and hedged, whichever is due. */
+    /** Handles that a request still has no reply: reports it as slow, hedges it, or both, as due. */
     private void onRequestTimer(long now, InFlightRequest inFlight) {
         if (now >= inFlight.slowSignalAt) {
             inFlight.slowSignalAt = NEVER;
@@ -376,21 +385,21 @@
     }
 
     /**
-     * The first of the top {@code limit} candidates, in hash order, that the request was not sent to yet; a
-     * suspect host only if there is no other. Null if all were tried.
+     * The first of the top {@code limit} ranked hosts that the request was not sent to yet; a failure outlier
+     * only if there is no other. Null if all were tried.
      */
     private Host firstUntriedHost(long now, InFlightRequest inFlight, int limit) {
-        Host suspect = null;
+        Host outlier = null;
         for (int i = 0; i < candidates.count && i < limit; i++) {
             Host host = candidates.rankedHosts[i];
             if (Arrays.stream(inFlight.attempts, 0, inFlight.sentAttempts).noneMatch(a -> a.host == host)) {
                 if (!health.isFailureOutlier(now, host)) {
                     return host;
                 }
-                suspect = suspect == null ? host : suspect;
+                outlier = outlier == null ? host : outlier;
             }
         }
-        return suspect;
+        return outlier;
     }
 
     @Override
@@ -427,8 +436,8 @@
         }
         health.onAttemptEnd(now, attempt.host, outcome.reason(), now - attempt.sentAt);
         recordOutcome(now, inFlight, attempt, outcome.reason());
-        // Many attempts at live hosts found no connection: idle connections, which fill the hosts' tables,
-        // are closed.
+        // Many attempts at live hosts got no connection: idle connections, which fill the hosts' connection
+        // tables, are closed.
         if (health.connectFailureRate > HostHealth.CLOSE_IDLE_CONNECT_FAILURE_RATE) {
             actions.closeIdleConnections(attempt.host.id);
         }
@@ -450,19 +459,19 @@
     /** Updates admission control with the end of an attempt. */
     private void recordOutcome(long now, InFlightRequest inFlight, Attempt attempt, Reason reason) {
         if (inFlight.isSerialByKey() && !reason.neverExecuted) {
-            admission.recordOrderedAttempt(now - attempt.sentAt);
+            admission.recordSerialAttempt(now - attempt.sentAt);
         }
         boolean isFast = now - attempt.sentAt < admission.slowThresholdNs(inFlight.requestClass);
         if (!health.isOrigin(attempt.host) && isFast && reason.isSuccess()) {
-            admission.onLoadSignal(now, Admission.FAST_ANSWER_SIGNAL, health.cacheAttemptsInFlight);
+            admission.onLoadSignal(now, Admission.FAST_RESPONSE_SIGNAL, health.cacheAttemptsInFlight);
         } else if (!health.isOrigin(attempt.host) && reason == Reason.REJECTED) {
-            inFlight.rejectedByCaches++;
-            if (settings.isCacheAside() || inFlight.rejectedByCaches > 1) {
-                recordCachesFull(now, inFlight);
+            inFlight.cacheRejections++;
+            if (settings.isCacheAside() || inFlight.cacheRejections > 1) {
+                recordCacheRejection(now, inFlight);
             }
         }
         if (health.isOrigin(attempt.host) && reason != Reason.CANCELLED) {
-            // A late answer counts as failed: otherwise a queue at the origin that makes every fetch late
+            // A late response counts as failed: otherwise a queue at the origin that makes every fetch late
             // would not be noticed.
             admission.recordOriginResult(reason != Reason.OK
                     || now - attempt.sentAt > inFlight.requestClass.goalTimeNs());
@@ -472,8 +481,9 @@
     }
 
     /**
-     * Infers how the origin behind read-through caches is doing. An error of the first attempt may be the
-     * cache's own; an error at another cache as well points to the origin.
+     * Infers from an attempt at a read-through cache whether the origin behind it works. An error of the
+     * first attempt may be the cache's own; an error of a further attempt, at another cache, points to the
+     * origin.
      */
     private void recordOriginResult(InFlightRequest inFlight, boolean isFirstAttempt, Reason reason) {
         if (reason == Reason.ERROR && !isFirstAttempt) {
@@ -485,15 +495,18 @@
         }
     }
 
-    /** Tells admission control that caches rejected the request. */
-    private void recordCachesFull(long now, InFlightRequest inFlight) {
+    /** Reports to admission control that caches rejected the request. */
+    private void recordCacheRejection(long now, InFlightRequest inFlight) {
         // A rejection while the origin is fast points to a hot key rather than to an overloaded fleet: it
         // counts as the weaker signal.
         double signal = isOriginFast(inFlight) ? Admission.SLOW_ATTEMPT_SIGNAL : Admission.REJECTION_SIGNAL;
         admission.onLoadSignal(now, signal, health.cacheAttemptsInFlight);
     }
 
-    /** After an attempt that gave no answer: waits for pending ones, retries, or sends the final answer. */
+    /**
+     * Handles the end of an attempt that did not serve the request: waits for pending attempts, retries, or
+     * sends the final reply.
+     */
     private void retryOrFinish(long now, InFlightRequest inFlight, Reason reason) {
         inFlight.needsOrigin |= reason == Reason.MISS;
         if (inFlight.pendingAttempts > 0) {
@@ -507,10 +520,10 @@
                 return;
             }
         }
-        if (inFlight.rejectedByCaches == 1 && reason == Reason.REJECTED && !settings.isCacheAside()) {
+        if (inFlight.cacheRejections == 1 && reason == Reason.REJECTED && !settings.isCacheAside()) {
             // A single rejection counts only if no other cache is tried, as here: one full cache does not
             // mean a full fleet.
-            recordCachesFull(now, inFlight);
+            recordCacheRejection(now, inFlight);
         }
         refuseOrFail(now, inFlight);
     }
@@ -542,7 +555,7 @@
                 || admission.admitsOriginWork(inFlight.request.isWrite(), health.nextRandom());
     }
 
-    /** The host for a retry, or null if there is none. */
+    /** The host for a retry, or null if there is none or the origin admits no more work. */
     private Host nextHost(long now, InFlightRequest inFlight, Reason reason) {
         // A rejection while the origin is fast is retried at the origin: otherwise the few, full hosts of a
         // hot key would be tried one after the other.
@@ -583,7 +596,7 @@
                 || inFlight.firstPossiblyExecutedAttempt() == null;
     }
 
-    /** Sends the final answer of a request that could not be served: a refusal if that is safe. */
+    /** Sends the final reply to a request that could not be served: a refusal if that is safe. */
     private void refuseOrFail(long now, InFlightRequest inFlight) {
         if (isRefusalSafe(inFlight)) {
             actions.refuse(inFlight.request.id(),
@@ -595,7 +608,11 @@
         endRequest(now, inFlight);
     }
 
-    /** Cancels all pending attempts but {@code exceptIndex}, if attempts may be cancelled at all; -1: all. */
+    /**
+     * Cancels the pending attempts of a request, if the settings allow it.
+     *
+     * @param exceptIndex the index of an attempt that is kept, -1 for none
+     */
     private void cancelPending(InFlightRequest inFlight, int exceptIndex) {
         for (int i = 0; i < inFlight.sentAttempts && settings.mayCancel(); i++) {
             if (inFlight.attempts[i].isPending && i != exceptIndex) {
--- a/src/main/java/eiderscale/StartTimes.java
+++ b/src/main/java/eiderscale/StartTimes.java
@@ -11,9 +11,11 @@
  * previous list and the current one.
  */
 final class StartTimes {
+    /** Value of {@link #lastListAt} while it is unknown. */
     private static final long UNKNOWN_TIME = Long.MIN_VALUE;
     /** Longest delay between a host's start and the first list that could have reported it. */
     private static final long MAX_REPORT_LAG_NS = 2_000_000_000L;
+    /** Most hosts whose reported start is kept. */
     private static final int MAX_HOSTS = 8_192;
 
     /**
@@ -32,8 +34,10 @@
     private long lastListAt = UNKNOWN_TIME;
 
     /**
-     * Records the start time that a list reports for a host, 0 for none. Returns whether the host is new or
-     * has restarted since its last report.
+     * Records the start time that a list reports for a host.
+     *
+     * @param reportedStart the reported time, 0 if unknown
+     * @return whether the time is known and differs from the last one: the host is new or has restarted
      */
     boolean recordReportedStart(long hostId, long reportedStart) {
         Long previous = reportedStarts.put(hostId, reportedStart);
@@ -52,8 +56,9 @@
     }
 
     /**
-     * Called after each list has been applied. {@code isCached}: the list dates from before this process, and
-     * its age is unknown.
+     * Records that a list has been applied.
+     *
+     * @param isCached whether the list dates from before this process, so that its age is unknown
      */
     void onListApplied(long now, boolean isCached) {
         lastListAt = isCached ? UNKNOWN_TIME : now;
--- a/src/main/java/eiderscale/net/Balancer.java
+++ b/src/main/java/eiderscale/net/Balancer.java
@@ -15,29 +15,40 @@
 /**
  * Connects the decision module to the sockets: keeps track of open requests, their attempts and their timers, passes
  * events to the module and carries out its actions. The module decides what is sent, repeated, refused or cancelled.
- * Requests are answered without it only if there is no room for them, if they are overdue, if the module fails on
- * them, or when the program stops.
+ * Requests get a reply without it only if there is no room for them, if they are overdue, if the module fails on them,
+ * or when the program stops.
  *
  * <p>All methods must be called on the event loop. The module is not reentrant and gets one event at a time: an event
  * that one of its actions causes is queued, and delivered when the module has returned.
  */
 final class Balancer implements Api.Actions, HostPool.AttemptListener, Discovery.Listener {
     /**
-     * Subtracted from a request's deadline for the network delay of request and answer, so that the final answer
-     * arrives in time: the client's wait begins when it sends the request, not when that is read here.
+     * Subtracted from a request's deadline for the network delay of request and reply, so that the reply arrives in
+     * time: the client's wait begins when it sends the request, not when that is read here.
      */
     private static final long CLIENT_NETWORK_MARGIN_NS = 6 * Clock.MILLISECOND;
-    /** How long after its deadline a request that the module has left open is answered without the module. */
-    private static final long OVERDUE_ANSWER_DELAY_NS = Clock.MILLISECOND;
+    /** How long after its deadline a request that the module has left open gets a reply without the module. */
+    private static final long OVERDUE_REPLY_DELAY_NS = Clock.MILLISECOND;
     /** Maximum total size of the values of the requests in memory; the heap has room for a few times as much. */
     private static final long MAX_HELD_VALUE_BYTES = 8L * 1024 * 1024;
 
-    /** Creates the decision module, which calls {@code actions} to act. */
+    /** Creates the decision module. */
     interface ModuleFactory {
+        /**
+         * Creates a module.
+         *
+         * @param seed source of all random choices of the module
+         * @param actions called by the module to act
+         */
         Api.Events create(Api.Settings settings, long seed, Api.Actions actions);
     }
 
-    /** A queued event: {@code moduleCall} delivers it, {@code exchange} is the request that it concerns, or null. */
+    /**
+     * A queued event.
+     *
+     * @param exchange the request that it concerns, or null
+     * @param moduleCall delivers it to the module
+     */
     private record Event(Exchange exchange, Runnable moduleCall) {
     }
 
@@ -47,18 +58,19 @@
     private final Api.Events decisionModule;
     private final HostPool pool;
     private final Discovery discovery;
-    /** Requests that are open or still have an attempt without an outcome, by id. */
+    /** Requests that are open or have an attempt without an outcome, by id. */
     private final Map<Long, Exchange> exchanges = new HashMap<>();
+    /** Events that the module has not been given yet. */
     private final Queue<Event> pendingEvents = new ArrayDeque<>();
+    /** Whether events are being delivered to the module; new ones are only queued then. */
     private boolean isDelivering;
     private long lastRequestId;
-    /** The number of requests that are owed an answer. */
+    /** The number of requests that have no reply yet and whose client is connected. */
     private int openRequests;
     /** The total size of the values of {@link #exchanges}. */
     private long heldValueBytes;
 
-    Balancer(Config config, EventLoop loop, Counters counters, ModuleFactory moduleFactory,
-             int maxHostConnections) {
+    Balancer(Config config, EventLoop loop, Counters counters, ModuleFactory moduleFactory, int maxHostConnections) {
         this.site = config.site();
         this.loop = loop;
         this.counters = counters;
@@ -73,27 +85,28 @@
     // Input from clients, discovery and cache hosts.
 
     /**
-     * Accepts a request, which is answered exactly once unless its client disconnects before. {@code waitedNs}: how
-     * long the client may already have waited before the request could be read.
+     * Accepts a request, which gets exactly one reply unless its client disconnects before.
+     *
+     * @param waitedNs how long the client may already have waited before the request could be read
      */
-    Exchange submit(Command command, Exchange.ReplyHandler client, long waitedNs) {
+    Exchange submit(Command command, Exchange.ReplyHandler replyHandler, long waitedNs) {
         long nowNs = Clock.now();
         long deadline = nowNs - waitedNs + command.timeoutMs * Clock.MILLISECOND - CLIENT_NETWORK_MARGIN_NS;
-        Exchange exchange = new Exchange(++lastRequestId, command, deadline, client);
+        Exchange exchange = new Exchange(++lastRequestId, command, deadline, replyHandler);
         counters.received++;
         int valueBytes = valueBytes(command);
-        // No room: refused, which is safe as no attempt was sent.
+        // Without room the request is refused, which is safe as no attempt was sent.
         if (openRequests >= site.maxOpenRequests
                 || valueBytes > 0 && heldValueBytes + valueBytes > MAX_HELD_VALUE_BYTES) {
             counters.localRefusals++;
-            answerRefused(exchange, 0);
+            replyRefused(exchange, 0);
             return exchange;
         }
         exchanges.put(exchange.id, exchange);
         openRequests++;
         heldValueBytes += valueBytes;
-        exchange.deadlineTimer = loop.schedule(() -> answerIfOverdue(exchange),
-                deadline + OVERDUE_ANSWER_DELAY_NS - nowNs, TimeUnit.NANOSECONDS);
+        exchange.deadlineTimer = loop.schedule(() -> replyIfOverdue(exchange),
+                deadline + OVERDUE_REPLY_DELAY_NS - nowNs, TimeUnit.NANOSECONDS);
         Api.Request request = new Api.Request(exchange.id, command.requestClass, command.tenant,
                 command.numericKey(), deadline, command.expectedWorkNs, command.isRetry, command.isWrite);
         dispatch(exchange, () -> decisionModule.onRequest(Clock.now(), request));
@@ -104,7 +117,7 @@
         return command.value == null ? 0 : command.value.length;
     }
 
-    /** Handles that the client of a request has disconnected: an open request is closed without an answer. */
+    /** Handles that the client of a request has disconnected: an open request is closed without a reply. */
     void onClientDisconnect(Exchange exchange) {
         if (exchange.close()) {
             counters.clientDisconnects++;
@@ -115,10 +128,10 @@
         }
     }
 
-    /** Ends all attempts and answers all open requests as in {@link #answerWithoutModule}: the program stops. */
-    void answerAllWithoutModule() {
+    /** Ends all attempts and replies to all open requests as in {@link #replyWithoutModule}: the program stops. */
+    void replyToAllWithoutModule() {
         for (Exchange exchange : List.copyOf(exchanges.values())) {
-            answerWithoutModule(exchange);
+            replyWithoutModule(exchange);
         }
     }
 
@@ -130,15 +143,15 @@
     }
 
     @Override
-    public void onAttemptEnded(Attempt attempt, Reason reason, MetaFrame answer) {
-        completeAttempt(attempt, reason, answer);
+    public void onAttemptEnded(Attempt attempt, Reason reason, MetaFrame response) {
+        completeAttempt(attempt, reason, response);
     }
 
     SiteSettings site() {
         return site;
     }
 
-    /** The number of requests that are neither answered nor disconnected. */
+    /** The number of requests that have no reply yet and whose client is connected. */
     int openRequests() {
         return openRequests;
     }
@@ -149,7 +162,7 @@
     }
 
     /** Completes when the host list may be used to serve requests; see {@link Discovery}. */
-    Future<Void> hostListReady() {
+    Future<Void> ready() {
         return discovery.ready();
     }
 
@@ -185,10 +198,10 @@
         try {
             event.moduleCall.run();
         } catch (RuntimeException | LinkageError | StackOverflowError e) {
-            // An error in the module must not affect other requests, nor leave this one without an answer.
+            // An error in the module must not affect other requests, nor leave this one without a reply.
             Counters.log("unexpected exception while delivering an event to the decision module", e);
             if (event.exchange != null) {
-                answerWithoutModule(event.exchange);
+                replyWithoutModule(event.exchange);
             }
         }
         if (event.exchange != null) {
@@ -196,42 +209,42 @@
         }
     }
 
-    /** Removes a request that is over once all its attempts have had their outcome. */
+    /** Removes a closed request once all its attempts have had their outcome. */
     private void removeIfFinished(Exchange exchange) {
         if (exchange.isClosed && exchange.pendingAttempts == 0 && exchanges.remove(exchange.id) != null) {
             heldValueBytes -= valueBytes(exchange.command);
         }
     }
 
-    /** Answers a request for which the module has not done so in time, whatever the reason. */
-    private void answerIfOverdue(Exchange exchange) {
+    /** Replies to a request for which the module has not done so in time, whatever the reason. */
+    private void replyIfOverdue(Exchange exchange) {
         if (!exchange.isClosed) {
-            counters.overdueAnswers++;
-            answerWithoutModule(exchange);
+            counters.overdueReplies++;
+            replyWithoutModule(exchange);
         }
     }
 
     /**
-     * Ends a request's attempts and, if it is open, answers it without the module: refused only if no attempt can have
-     * run, so that a client may repeat it safely, and failed otherwise.
+     * Ends a request's attempts and, if it is open, replies to it without the module: refused only if no attempt can
+     * have run, so that the client may repeat it safely, and failed otherwise.
      */
-    private void answerWithoutModule(Exchange exchange) {
+    private void replyWithoutModule(Exchange exchange) {
         boolean mayHaveRun = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
         for (Attempt attempt : List.copyOf(exchange.attempts)) {
             abandonAttempt(attempt, Reason.CANCELLED);
         }
         if (!exchange.isClosed) {
             if (mayHaveRun) {
-                answerFailed(exchange);
+                replyFailed(exchange);
             } else {
-                answerRefused(exchange, 0);
+                replyRefused(exchange, 0);
             }
             dispatch(exchange, () -> decisionModule.onClientGone(Clock.now(), exchange.id));
         }
     }
 
     /**
-     * Ends the attempts of a finished request that are not completely written, such as those whose connection is still
+     * Ends the attempts of a closed request that are not completely written, such as those whose connection is still
      * being opened. This is allowed even if the site's settings forbid cancelling: they cannot have run yet.
      */
     private void abandonUnwrittenAttempts(Exchange exchange) {
@@ -250,7 +263,7 @@
     }
 
     /** Records the outcome of an attempt, and reports it to the module; has no effect if it has one already. */
-    private void completeAttempt(Attempt attempt, Reason reason, MetaFrame answer) {
+    private void completeAttempt(Attempt attempt, Reason reason, MetaFrame response) {
         if (attempt.isCompleted) {
             return;
         }
@@ -264,35 +277,34 @@
         dispatch(exchange, () -> {
             exchange.pendingAttempts--;
             if (reason == Reason.OK && !exchange.isClosed) {
-                counters.served(answer.flagValue(1, 'h'), Clock.now() - attempt.sentAt);
+                counters.served(response.flagValue(1, 'h'), Clock.now() - attempt.sentAt);
                 openRequests--;
-                exchange.reply(answerLine(exchange.command, answer), answer.data());
+                exchange.reply(replyLine(exchange.command, response), response.data());
                 abandonUnwrittenAttempts(exchange);
             }
-            float[] report = site.parseReport(answer == null ? null : answer.flagValue(1, 'L'));
+            float[] report = site.parseReport(response == null ? null : response.flagValue(1, 'L'));
             long now = Clock.now();
             decisionModule.onAttemptOutcome(now, new Api.AttemptOutcome(exchange.id, attempt.index, reason,
                     now - attempt.sentAt, exchange.isClosed, report));
         });
     }
 
-    /** A host's answer in the form for the client, without the flags that are meant for balancers. */
-    private static String answerLine(Command command, MetaFrame answer) {
-        return command.isWrite ? "HD O" + command.opaque + " c" + answer.flagValue(1, 'c') + "\r\n"
-                : "VA " + answer.data().length + " O" + command.opaque + "\r\n";
+    /** The reply line to the client for a host's response, without the flags that are meant for balancers. */
+    private static String replyLine(Command command, MetaFrame response) {
+        return command.isWrite ? "HD O" + command.opaque + " c" + response.flagValue(1, 'c') + "\r\n"
+                : "VA " + response.data().length + " O" + command.opaque + "\r\n";
     }
 
-    private void answerRefused(Exchange exchange, long retryAfterMs) {
+    private void replyRefused(Exchange exchange, long retryAfterMs) {
         counters.refusedWithoutAttempt += exchange.attempts.isEmpty() ? 1 : 0;
         countIfLateAndUnwritten(exchange);
-        exchange.reply(retryAfterMs > 0 ? "SERVER_ERROR busy " + retryAfterMs + "\r\n" : Command.BUSY_REPLY,
-                null);
+        exchange.reply(retryAfterMs > 0 ? "SERVER_ERROR busy " + retryAfterMs + "\r\n" : Command.BUSY_REPLY, null);
         counters.refused++;
         openRequests -= exchanges.containsKey(exchange.id) ? 1 : 0;
         abandonUnwrittenAttempts(exchange);
     }
 
-    private void answerFailed(Exchange exchange) {
+    private void replyFailed(Exchange exchange) {
         countIfLateAndUnwritten(exchange);
         exchange.reply("SERVER_ERROR failed\r\n", null);
         counters.failed++;
@@ -300,7 +312,10 @@
         abandonUnwrittenAttempts(exchange);
     }
 
-    /** Counts a request that is answered unserved in the second half of its client's wait, with nothing written. */
+    /**
+     * Counts a request that is refused or failed in the second half of its client's wait, with no attempt written
+     * completely.
+     */
     private void countIfLateAndUnwritten(Exchange exchange) {
         boolean isAnyWritten = exchange.mayHaveRun || exchange.attempts.stream().anyMatch(Attempt::isFullyWritten);
         counters.lateAndUnwritten += !isAnyWritten && isPastHalfOfWait(exchange) ? 1 : 0;
@@ -314,25 +329,25 @@
     // Actions of the module, carried out in the order of the calls.
 
     @Override
-    public void send(long requestId, long serverId, long requestedDeadline) {
+    public void send(long requestId, long serverId, long attemptDeadline) {
         Exchange exchange = exchanges.get(requestId);
         if (exchange == null) {
-            Counters.log("decision module sent an attempt of a finished request: " + requestId);
+            Counters.log("decision module sent an attempt of an unknown or finished request: " + requestId);
             return;
         }
         long nowNs = Clock.now();
-        long attemptDeadline = requestedDeadline <= 0 ? exchange.deadline
-                : Math.min(requestedDeadline, exchange.deadline);
-        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), nowNs, attemptDeadline);
+        // A deadline of 0 or less stands for that of the request.
+        long cappedDeadline = attemptDeadline <= 0 ? exchange.deadline : Math.min(attemptDeadline, exchange.deadline);
+        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), nowNs, cappedDeadline);
         exchange.attempts.add(attempt);
         exchange.pendingAttempts++;
         boolean exceedsMaxAttempts = exchange.attempts.size() > site.settings.maxAttempts();
         if (exchange.isClosed || exceedsMaxAttempts || nowNs >= exchange.deadline) {
             completeAttempt(attempt, Reason.MOOT, null);
-        } else if (nowNs >= attemptDeadline) {
+        } else if (nowNs >= cappedDeadline) {
             completeAttempt(attempt, Reason.TIMEOUT, null);
         } else {
-            attempt.deadlineTimer = loop.schedule(() -> onAttemptTimeout(attempt), attemptDeadline - nowNs,
+            attempt.deadlineTimer = loop.schedule(() -> onAttemptTimeout(attempt), cappedDeadline - nowNs,
                     TimeUnit.NANOSECONDS);
             pool.send(attempt, serverId);
         }
@@ -345,10 +360,10 @@
     }
 
     @Override
-    public void cancel(long requestId, int attemptNumber) {
+    public void cancel(long requestId, int attemptIndex) {
         Exchange exchange = exchanges.get(requestId);
-        if (exchange != null && attemptNumber < exchange.attempts.size()) {
-            abandonAttempt(exchange.attempts.get(attemptNumber), Reason.CANCELLED);
+        if (exchange != null && attemptIndex < exchange.attempts.size()) {
+            abandonAttempt(exchange.attempts.get(attemptIndex), Reason.CANCELLED);
         }
     }
 
@@ -358,7 +373,7 @@
         if (exchange != null && !exchange.isClosed) {
             long cappedRetryAfterNs = site.settings.sendsRetryAfter()
                     ? Math.min(retryAfterNs, site.settings.maxRetryAfterNs()) : 0;
-            answerRefused(exchange, (cappedRetryAfterNs + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
+            replyRefused(exchange, (cappedRetryAfterNs + Clock.MILLISECOND - 1) / Clock.MILLISECOND);
         }
     }
 
@@ -366,7 +381,7 @@
     public void fail(long requestId) {
         Exchange exchange = exchanges.get(requestId);
         if (exchange != null && !exchange.isClosed) {
-            answerFailed(exchange);
+            replyFailed(exchange);
         }
     }
 
--- a/src/main/java/eiderscale/net/ClientServer.java
+++ b/src/main/java/eiderscale/net/ClientServer.java
@@ -231,7 +231,7 @@
             markIdle();
             firstCommandTimer = loop.schedule(() -> {
                 if (!hasReceivedFrame) {
-                    counters.silentPeers++;
+                    counters.silentClients++;
                     channel.close();
                 }
             }, Math.max(MIN_FIRST_COMMAND_TIMEOUT_MS, FIRST_COMMAND_TIMEOUT_MS - receiveDelayNs / Clock.MILLISECOND),
@@ -446,7 +446,7 @@
                 channel.write(pending.reply).addListener(done -> {
                     unsentBytes -= bytes;
                     pendingWrites--;
-                    counters.recordAnswerWrite(writeAt - pending.completedAt, Clock.now() - pending.completedAt);
+                    counters.recordReplyWrite(writeAt - pending.completedAt, Clock.now() - pending.completedAt);
                 });
                 hasWritten = true;
             }
--- a/src/main/java/eiderscale/net/Connector.java
+++ b/src/main/java/eiderscale/net/Connector.java
@@ -13,10 +13,10 @@
  */
 final class Connector {
     /**
-     * The limit for failing writes is the shorter one: a request that is written late states a remaining wait that is
-     * too long, and may reach a host that is draining.
+     * How long reads or writes of a connection may fail before it is closed. The limit for writes is the shorter one: a
+     * request that is written late states a remaining wait that is too long, and may reach a host that is draining.
      */
-    private static final RetryingSocketChannel.RetryTimeouts FAILURE_LIMITS =
+    private static final RetryingSocketChannel.RetryTimeouts RETRY_TIMEOUTS =
             new RetryingSocketChannel.RetryTimeouts(100 * Clock.MILLISECOND, 20 * Clock.MILLISECOND);
 
     private final EventLoop loop;
@@ -29,8 +29,9 @@
 
     /**
      * Starts to connect. The future may already be complete on return; its listeners are called on the event loop. If
-     * it fails, the channel is closed. {@code timeoutMs}: the connect timeout, at least 1.
+     * it fails, the channel is closed.
      *
+     * @param timeoutMs the connect timeout, at least 1
      * @throws SocketUnavailableException if no socket can be created on this machine
      */
     ChannelFuture connect(InetSocketAddress address, int timeoutMs, ChannelHandler... handlers)
@@ -57,15 +58,15 @@
 
     private RetryingSocketChannel openChannel() throws SocketUnavailableException {
         try {
-            return new RetryingSocketChannel(FAILURE_LIMITS, counters);
+            return new RetryingSocketChannel(RETRY_TIMEOUTS, counters);
         } catch (RuntimeException e) {
             throw new SocketUnavailableException(e);
         }
     }
 
     /**
-     * Whether connecting failed on this machine, that is, the peer has neither refused the connection nor left it
-     * unanswered until the connect timeout.
+     * Whether connecting failed on this machine, that is, the peer has neither refused the connection nor failed to
+     * respond by the connect timeout.
      */
     static boolean isLocalFailure(Throwable cause) {
         return !(cause instanceof ConnectException);
--- a/src/main/java/eiderscale/net/Counters.java
+++ b/src/main/java/eiderscale/net/Counters.java
@@ -16,7 +16,7 @@
     private final long[] outcomes = new long[Reason.values().length];
     /** Valid requests passed to {@link Balancer#submit}; each is served, refused, failed, or ends by a disconnect. */
     long received;
-    /** Requests answered with a host's successful answer. */
+    /** Requests whose reply was a host's successful response. */
     private long served;
     /** Cache misses: served reads whose value the host had to fetch from the origin. */
     private long missed;
@@ -28,18 +28,18 @@
     long refused;
     /** Received requests answered "failed". */
     long failed;
-    /** Requests whose client disconnected before they were answered. */
+    /** Requests whose client disconnected before the reply. */
     long clientDisconnects;
     /** The part of {@link #clientDisconnects} that came in the first half of the time that the client would wait. */
     long earlyClientDisconnects;
     long malformedCommands;
-    /** Requests answered without the decision module, as it had not answered them by their deadline. */
-    long overdueAnswers;
+    /** Requests that got a reply without the decision module, as it had not given one by their deadline. */
+    long overdueReplies;
     /** Connections to cache hosts that the pool has begun to open. */
     long connectionsStarted;
     /** Outgoing connections that could not be started, as no socket could be created. */
     long socketFailures;
-    /** Failed accept calls. */
+    /** Failed calls to accept a client connection. */
     private long acceptFailures;
     private long discoveryFailures;
     private long brokenClientConnections;
@@ -66,21 +66,21 @@
     /** New client connections that were closed at once, as there was no room even to refuse their requests. */
     long rejectedClients;
     /** Client connections closed because they sent no complete command in time. */
-    long silentPeers;
-    /** Attempts on reused connections that ended as the connection was lost. */
+    long silentClients;
+    /** Attempts on reused connections that ended because the connection was lost. */
     long staleResets;
     /** The shortest time that such a connection had been idle, since the last metrics line. */
     private long minStaleIdleNs = Long.MAX_VALUE;
     /** The longest such time since the last metrics line. */
     private long maxStaleIdleNs;
-    /** The maximum of {@link #recordSendDelay} since the last metrics line. */
+    /** The longest send delay since the last metrics line, see {@link #recordSendDelay}. */
     private long maxSendDelayNs;
-    /** Answers whose write to the client took more than 5 ms. */
-    private long slowAnswerWrites;
-    /** The longest write of an answer to a client since the last metrics line. */
-    private long maxAnswerWriteNs;
-    /** The longest that an answer was queued behind earlier ones, since the last metrics line. */
-    private long maxAnswerQueueNs;
+    /** Replies whose write to the client took more than 5 ms. */
+    private long slowReplyWrites;
+    /** The longest write of a reply to a client since the last metrics line. */
+    private long maxReplyWriteNs;
+    /** The longest time that a reply was queued behind earlier ones, since the last metrics line. */
+    private long maxReplyQueueNs;
     /** The sum of the problem counts at the last call of {@link #hasNewProblems}. */
     private long lastProblemCount;
     /** Timers that have run. */
@@ -92,28 +92,30 @@
 
     void recordOutcome(Attempt attempt, Reason reason) {
         outcomes[reason.ordinal()]++;
-        int error = reason == Reason.ERROR ? 1 : 0;
+        int errorCount = reason == Reason.ERROR ? 1 : 0;
         if (attempt.exchange.command.isWrite) {
             writeAttempts[0]++;
-            writeAttempts[1] += error;
+            writeAttempts[1] += errorCount;
         }
         if (attempt.index > 0) {
             furtherAttempts[0]++;
-            furtherAttempts[1] += error;
+            furtherAttempts[1] += errorCount;
         }
     }
 
     /**
-     * Records a served request. {@code hitFlag}: the answer's flag {@code h}, "0" for a cache miss, null for a write.
-     * {@code tookNs}: the latency of the attempt that was served.
+     * Records a served request.
+     *
+     * @param hitFlag the response's flag {@code h}: "0" for a cache miss, null for a write
+     * @param latencyNs the latency of the attempt that was served
      */
-    void served(String hitFlag, long tookNs) {
+    void served(String hitFlag, long latencyNs) {
         served++;
         if (hitFlag != null) {
-            int fetched = "0".equals(hitFlag) ? 1 : 0;
-            missed += fetched;
-            reads[fetched]++;
-            readTimeNs[fetched] += tookNs;
+            int miss = "0".equals(hitFlag) ? 1 : 0;
+            missed += miss;
+            reads[miss]++;
+            readTimeNs[miss] += latencyNs;
         }
     }
 
@@ -134,14 +136,15 @@
     }
 
     /**
-     * Records the write of an answer to a client. Both times count from when the answer was there: {@code queuedNs}
-     * until all earlier commands of the connection had been answered and its write began, {@code writtenNs} until its
-     * last byte was written.
+     * Records the write of a reply to a client. Both times count from when the reply was available.
+     *
+     * @param queuedNs time until all earlier commands of the connection had their reply and the write began
+     * @param writtenNs time until the last byte of the reply was written
      */
-    void recordAnswerWrite(long queuedNs, long writtenNs) {
-        slowAnswerWrites += writtenNs - queuedNs > 5 * Clock.MILLISECOND ? 1 : 0;
-        maxAnswerQueueNs = Math.max(maxAnswerQueueNs, queuedNs);
-        maxAnswerWriteNs = Math.max(maxAnswerWriteNs, writtenNs - queuedNs);
+    void recordReplyWrite(long queuedNs, long writtenNs) {
+        slowReplyWrites += writtenNs - queuedNs > 5 * Clock.MILLISECOND ? 1 : 0;
+        maxReplyQueueNs = Math.max(maxReplyQueueNs, queuedNs);
+        maxReplyWriteNs = Math.max(maxReplyWriteNs, writtenNs - queuedNs);
     }
 
     void recordAcceptFailure(Throwable cause) {
@@ -149,7 +152,11 @@
         acceptFailureLog.log("cannot accept: " + cause);
     }
 
-    /** Records that a client connection broke; {@code openRequests} are the opaques of its unanswered requests. */
+    /**
+     * Records that a client connection broke.
+     *
+     * @param openRequests the opaques of the connection's requests that have no reply yet
+     */
     void recordBrokenClientConnection(Throwable cause, List<String> openRequests) {
         brokenClientConnections++;
         if (!openRequests.isEmpty()) {
@@ -157,7 +164,11 @@
         }
     }
 
-    /** Records a failed read or write call ({@code operation}); the connection may still work. */
+    /**
+     * Records a failed read or write call. The connection may still work.
+     *
+     * @param operation "read" or "write"
+     */
     void recordIoFailure(String operation, Throwable cause) {
         ioFailures++;
         ioFailureLog.log("a " + operation + " failed: " + cause.getMessage());
@@ -175,10 +186,10 @@
         minStaleIdleNs = Math.min(minStaleIdleNs, idleNs);
     }
 
-    /** Whether any problem was counted since the last call, so that a metrics line should be written at once. */
+    /** Whether any problem was counted since the previous call, so that a metrics line should be written at once. */
     boolean hasNewProblems() {
         long previousCount = lastProblemCount;
-        lastProblemCount = refused + failed + overdueAnswers + lateTimers + rejectedClients + evictedClients
+        lastProblemCount = refused + failed + overdueReplies + lateTimers + rejectedClients + evictedClients
                 + staleResets + outcomes[Reason.TIMEOUT.ordinal()] + outcomes[Reason.CONNECT_FAILED.ordinal()];
         return lastProblemCount != previousCount;
     }
@@ -203,13 +214,13 @@
         line.count("taken", received).count("served", served).count("missed", missed).count("refused", refused)
                 .count("unsent", refusedWithoutAttempt).count("failed", failed).count("gone", clientDisconnects)
                 .count("early", earlyClientDisconnects).count("malformed", malformedCommands)
-                .count("last-calls", overdueAnswers).count("held-back", lateAndUnwritten).endGroup();
+                .count("last-calls", overdueReplies).count("held-back", lateAndUnwritten).endGroup();
     }
 
     private void appendConnections(MetricsLine line) {
         line.count("connects", connectionsStarted).count("no-place", connectionsRejectedByHost)
                 .count("local-refusals", localRefusals).count("evicted", evictedClients)
-                .count("turned-away", rejectedClients).count("silent", silentPeers)
+                .count("turned-away", rejectedClients).count("silent", silentClients)
                 .count("stale-resets", staleResets);
         if (maxStaleIdleNs > 0) {
             line.millis("after", minStaleIdleNs).millis("to", maxStaleIdleNs);
@@ -218,8 +229,8 @@
     }
 
     private void appendDelays(MetricsLine line) {
-        line.millis("turn worst", maxAnswerQueueNs).count("slow deliveries", slowAnswerWrites)
-                .millis("worst", maxAnswerWriteNs).millis("way worst", maxSendDelayNs).count("timers", timers)
+        line.millis("turn worst", maxReplyQueueNs).count("slow deliveries", slowReplyWrites)
+                .millis("worst", maxReplyWriteNs).millis("way worst", maxSendDelayNs).count("timers", timers)
                 .count("late", lateTimers).millis("worst", maxTimerDelayNs).endGroup();
     }
 
@@ -249,8 +260,8 @@
         Arrays.fill(readTimeNs, 0);
         maxTimerDelayNs = 0;
         maxSendDelayNs = 0;
-        maxAnswerQueueNs = 0;
-        maxAnswerWriteNs = 0;
+        maxReplyQueueNs = 0;
+        maxReplyWriteNs = 0;
         maxStaleIdleNs = 0;
         minStaleIdleNs = Long.MAX_VALUE;
     }
--- a/src/main/java/eiderscale/net/HostPool.java
+++ b/src/main/java/eiderscale/net/HostPool.java
@@ -8,6 +8,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -19,30 +20,38 @@
 import java.util.Set;
 
 /**
- * The connection pool to all cache hosts. Idle connections are reused in LIFO order per host, and evicted in LRU
- * order over all hosts when the pool is full.
+ * The connection pool to all cache hosts. Idle connections are reused in LIFO order per host, and evicted in LRU order
+ * over all hosts when the pool is full.
  *
- * <p>A connection has at most one request in flight. This is never more than a site allows
- * ({@code ceilings.multiplex}), and abandoning an attempt then closes a connection that no other request uses. The
- * pool never sends an attempt a second time. All methods must be called on the event loop.
+ * <p>A connection has at most one request in flight. Every site allows this (setting {@code ceilings.multiplex}), and
+ * abandoning an attempt then closes a connection that no other request uses. The pool never sends an attempt a second
+ * time. All methods must be called on the event loop.
  */
 final class HostPool {
     /** Receives the result of each attempt, except of those ended by {@link HostPool#abandon}. */
     interface AttemptListener {
-        /** {@code answer}: what the host answered, null if there is none. */
-        void onAttemptEnded(Attempt attempt, Reason reason, MetaFrame answer);
+        /**
+         * Reports that an attempt has ended; called at most once for each attempt.
+         *
+         * @param response the host's response, null if there is none
+         */
+        void onAttemptEnded(Attempt attempt, Reason reason, MetaFrame response);
     }
 
     /** Lower bound of the idle timeout, as a fraction of the hosts' idle timeout; applies where that is short. */
     private static final double MIN_IDLE_TIMEOUT_FRACTION = 0.6;
-    /** Subtracted from the drain grace: reading the host list and writing an attempt may each take half of this. */
+    /**
+     * Subtracted from the drain grace period, {@link Api.Settings#stopSendingWithinNs}: reading the host list and
+     * writing an attempt may each take half of this.
+     */
     private static final long DRAIN_MARGIN_NS = 300 * Clock.MILLISECOND;
     /**
-     * How long after an answer a second, unsolicited one may still arrive on the same connection.
-     * {@code SERVER_ERROR busy} carries no opaque, so an unsolicited one would be taken for the answer to the next
+     * How long after a response a second, unsolicited one may still arrive on the same connection.
+     * {@code SERVER_ERROR busy} carries no opaque, so an unsolicited one would be taken for the response to the next
      * request on the connection, and that request would be reported as never run.
      */
-    private static final long UNSOLICITED_ANSWER_WINDOW_NS = 100 * Clock.MILLISECOND;
+    private static final long UNSOLICITED_RESPONSE_WINDOW_NS = 100 * Clock.MILLISECOND;
+    /** Value of {@link Host#sendDeadline} for a host that is ready. */
     private static final long NO_DEADLINE = Long.MAX_VALUE;
 
     /** A cache host and its connections. */
@@ -58,12 +67,13 @@
         long sendDeadline = NO_DEADLINE;
         /** Connections that hold a slot: open, being opened, or closing. */
         int connectionCount;
-        /** Least recently used first. */
+        /** The host's idle connections, least recently used first. */
         final Deque<PooledConnection> idleConnections = new ArrayDeque<>();
     }
 
     private final SiteSettings site;
     private final Counters counters;
+    /** Most connections to all hosts together. */
     private final int maxConnections;
     /**
      * How long a connection may be idle before it is closed. A host applies its idle timeout by its own clock, and so
@@ -76,11 +86,11 @@
     private final AttemptListener listener;
     private final Connector connector;
     private final int connectTimeoutMs;
-    /** By server id, as in the host list and the decision module. */
+    /** All hosts by server id, as in the host list and the decision module. */
     private final Map<Long, Host> hosts = new HashMap<>();
     /** The idle connections of all hosts, least recently used first. */
     private final Set<PooledConnection> allIdleConnections = new LinkedHashSet<>();
-    /** Connections to all hosts that hold a slot; at most {@link #maxConnections}. */
+    /** Connections to all hosts that hold a slot, at most {@link #maxConnections}. */
     private int connectionCount;
 
     HostPool(SiteSettings site, EventLoop loop, Counters counters, int maxConnections, AttemptListener listener) {
@@ -126,7 +136,7 @@
         }
     }
 
-    /** Closes idle connections, and lets attempts be sent only until shortly before the drain grace ends. */
+    /** Closes idle connections, and lets attempts be sent only until shortly before the drain grace period ends. */
     private void startDraining(Host host, long nowNs) {
         host.sendDeadline = Math.min(host.sendDeadline,
                 nowNs + Math.max(0, site.settings.stopSendingWithinNs() - DRAIN_MARGIN_NS));
@@ -135,7 +145,7 @@
 
     /**
      * Sends an attempt on the host's most recently used idle connection, or on a new one if there is none. The attempt
-     * ends as MOOT (not sent) if the host is unknown or drained, or if there is no connection for it.
+     * ends as MOOT (not sent) if the host is unknown or drained, or if the pool has no connection for it.
      */
     void send(Attempt attempt, long hostId) {
         Host host = hosts.get(hostId);
@@ -149,15 +159,15 @@
             connection = host.idleConnections.peekLast();
         }
         if (connection != null && mustNotRunTwice(attempt)) {
-            connection = mostRecentlyUsedPastAnswerWindow(host);
+            connection = mostRecentlyUsedPastResponseWindow(host);
         }
         if (connection != null) {
             connection.removeFromIdle();
             connection.assign(attempt);
             connection.writeAttempt();
         } else if (connectionCount >= maxConnections && !evictLeastRecentlyUsed()) {
-            // A full pool is not the host's fault. MOOT (not sent) counts against no host; the module may then
-            // choose another host or refuse the request.
+            // A full pool is not the host's fault. MOOT (not sent) counts against no host; the module may then choose
+            // another host or refuse the request.
             counters.localRefusals++;
             listener.onAttemptEnded(attempt, Reason.MOOT, null);
         } else {
@@ -165,7 +175,7 @@
         }
     }
 
-    /** Whether a repeat might take effect again: a fragile request, or one whose repeats only some hosts drop. */
+    /** Whether a repeat might take effect again: the request is not idempotent, or only some hosts drop repeats. */
     private boolean mustNotRunTwice(Attempt attempt) {
         Api.RequestClass requestClass = site.settings.requestClasses().get(attempt.exchange.command.requestClass);
         return requestClass.effect() == Api.Effect.NON_IDEMPOTENT
@@ -173,15 +183,15 @@
     }
 
     /**
-     * The most recently used idle connection that has had no answer within {@link #UNSOLICITED_ANSWER_WINDOW_NS}, so
-     * that no unsolicited answer is expected on it; null if there is none or it is not usable any more.
+     * The most recently used idle connection that has had no response within {@link #UNSOLICITED_RESPONSE_WINDOW_NS},
+     * so that no unsolicited response is expected on it; null if there is none or it is not usable any more.
      */
-    private static PooledConnection mostRecentlyUsedPastAnswerWindow(Host host) {
-        long windowStartAt = Clock.now() - UNSOLICITED_ANSWER_WINDOW_NS;
+    private static PooledConnection mostRecentlyUsedPastResponseWindow(Host host) {
+        long windowStartAt = Clock.now() - UNSOLICITED_RESPONSE_WINDOW_NS;
         for (Iterator<PooledConnection> mostRecentFirst = host.idleConnections.descendingIterator();
                 mostRecentFirst.hasNext(); ) {
             PooledConnection connection = mostRecentFirst.next();
-            if (connection.lastAnswerAt <= windowStartAt) {
+            if (connection.lastResponseAt <= windowStartAt) {
                 return connection.isUsable() ? connection : null;
             }
         }
@@ -189,7 +199,7 @@
     }
 
     /**
-     * Ends an attempt without reporting it. If its write has begun, its connection is closed, as the answer may still
+     * Ends an attempt without reporting it. If its write has begun, its connection is closed, as the response may still
      * arrive; a connection that is still being opened stays in the pool.
      */
     void abandon(Attempt attempt) {
@@ -202,6 +212,7 @@
         }
     }
 
+    /** Closes all idle connections to a host; unknown hosts are ignored. */
     void closeIdleConnections(long hostId) {
         Host host = hosts.get(hostId);
         if (host != null) {
@@ -215,7 +226,7 @@
         }
     }
 
-    /** Closes the least recently used idle connection to make room; false if no connection is idle. */
+    /** Closes the least recently used idle connection to make room; returns false if no connection is idle. */
     private boolean evictLeastRecentlyUsed() {
         Iterator<PooledConnection> leastRecentFirst = allIdleConnections.iterator();
         if (!leastRecentFirst.hasNext()) {
@@ -241,11 +252,11 @@
     }
 
     /**
-     * The states of a connection. {@code AWAITING_ANSWER}: an attempt is being written or has been.
-     * {@code FINISHING_READ}: its attempt was answered, but the read that delivered the answer is not complete and may
-     * deliver bytes beyond it.
+     * The states of a connection. {@code AWAITING_RESPONSE}: an attempt is being written or has been.
+     * {@code FINISHING_READ}: the response has arrived, but the read that delivered it is not complete and may deliver
+     * bytes beyond it.
      */
-    private enum State { CONNECTING, AWAITING_ANSWER, FINISHING_READ, IDLE, CLOSED }
+    private enum State { CONNECTING, AWAITING_RESPONSE, FINISHING_READ, IDLE, CLOSED }
 
     /** One connection to a host; also the last handler of its channel's pipeline. */
     final class PooledConnection extends SimpleChannelInboundHandler<MetaFrame> {
@@ -260,8 +271,8 @@
         private ChannelFuture writeFuture;
         /** When the connection last became idle; 0 if it never was. */
         private long idleAt;
-        /** When the last answer arrived; 0 if none has. */
-        private long lastAnswerAt;
+        /** When the last response arrived; 0 if none has. */
+        private long lastResponseAt;
         /** Whether the connection holds a slot, that is, counts towards {@link HostPool#maxConnections}. */
         private boolean holdsSlot;
 
@@ -323,11 +334,11 @@
         private void writeAttempt() {
             long nowNs = Clock.now();
             if (nowNs >= host.sendDeadline || generation != host.generation) {
-                // The drain grace ended, or the host moved or restarted, while the connection was being opened.
+                // The host was drained, moved or restarted while the connection was being opened.
                 finishAttempt(Reason.CONNECT_FAILED, null, true);
                 return;
             }
-            state = State.AWAITING_ANSWER;
+            state = State.AWAITING_RESPONSE;
             long remainingWaitMs = Math.max(1, (attempt.deadline - nowNs) / Clock.MILLISECOND);
             ByteBuf bytes = attempt.exchange.command.encode(channel.alloc(), remainingWaitMs);
             counters.recordSendDelay(nowNs - attempt.sentAt);
@@ -335,45 +346,52 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, MetaFrame answer) {
-            if (state != State.AWAITING_ANSWER || attempt == null) {
-                // An unsolicited answer: later answers on this connection cannot be matched to requests any more.
+        protected void channelRead0(ChannelHandlerContext ctx, MetaFrame response) {
+            if (state != State.AWAITING_RESPONSE || attempt == null) {
+                // An unsolicited response: later ones on this connection cannot be matched to requests any more.
                 close();
                 return;
             }
-            Reason reason = classify(attempt.exchange.command, answer);
+            Reason reason = classify(attempt.exchange.command, response);
             boolean isProtocolError = reason == null;
             if (isProtocolError) {
-                Counters.log("protocol error in a cache host's answer: "
-                        + (answer.protocolError() != null ? answer.protocolError() : answer.tokens()));
+                Counters.log("protocol error in a cache host's response: "
+                        + (response.protocolError() != null ? response.protocolError() : response.tokens()));
             }
-            if (reason == Reason.REJECTED && lastAnswerAt == 0) {
-                // A host that is at its connection limit answers the first request on a new connection with
-                // "busy" and closes it. That counts as a failed connect: it does not tell that the host is overloaded.
+            if (reason == Reason.REJECTED && lastResponseAt == 0) {
+                // A host that is at its connection limit answers the first request on a new connection with "busy" and
+                // closes it. That counts as a failed connect: it does not mean that the host is overloaded.
                 counters.connectionsRejectedByHost++;
-                finishAttempt(Reason.CONNECT_FAILED, answer, true);
+                finishAttempt(Reason.CONNECT_FAILED, response, true);
             } else {
-                finishAttempt(isProtocolError ? Reason.ERROR : reason, answer, isProtocolError || !isWritten());
+                finishAttempt(isProtocolError ? Reason.ERROR : reason, response, isProtocolError || !isWritten());
             }
         }
 
-        /** The result that an answer stands for; null if it violates the protocol or does not match the command. */
-        private static Reason classify(Command command, MetaFrame answer) {
-            if (answer.protocolError() != null) {
+        /** The result that a response stands for; null if it violates the protocol or does not fit the command. */
+        private static Reason classify(Command command, MetaFrame response) {
+            if (response.protocolError() != null) {
                 return null;
             }
-            if (answer.tokenIs(0, "SERVER_ERROR")) {
-                return answer.tokenIs(1, "busy") ? Reason.REJECTED : answer.tokenIs(1, "failed") ? Reason.ERROR : null;
+            if (response.tokenIs(0, "SERVER_ERROR")) {
+                return response.tokenIs(1, "busy") ? Reason.REJECTED
+                        : response.tokenIs(1, "failed") ? Reason.ERROR : null;
             }
-            int wordsBeforeFlags = answer.tokenIs(0, "VA") ? 2 : 1;
+            int wordsBeforeFlags = response.tokenIs(0, "VA") ? 2 : 1;
             boolean hasExpectedForm = command.isWrite
-                    ? answer.tokenIs(0, "HD") && answer.flagValue(wordsBeforeFlags, 'c') != null
-                    : answer.tokenIs(0, "VA");
-            return hasExpectedForm && command.opaque.equals(answer.flagValue(wordsBeforeFlags, 'O')) ? Reason.OK : null;
-        }
-
-        /** Ends the attempt with an answer, or with null if none arrived, and closes the connection if told to. */
-        private void finishAttempt(Reason reason, MetaFrame answer, boolean closeConnection) {
+                    ? response.tokenIs(0, "HD") && response.flagValue(wordsBeforeFlags, 'c') != null
+                    : response.tokenIs(0, "VA");
+            return hasExpectedForm && command.opaque.equals(response.flagValue(wordsBeforeFlags, 'O'))
+                    ? Reason.OK : null;
+        }
+
+        /**
+         * Ends the attempt on this connection and reports it.
+         *
+         * @param response the host's response, or null if there is none
+         * @param closeConnection whether the connection is closed, not reused
+         */
+        private void finishAttempt(Reason reason, MetaFrame response, boolean closeConnection) {
             Attempt ended = attempt;
             unassign();
             writeFuture = null;
@@ -381,9 +399,9 @@
                 close();
             } else {
                 state = State.FINISHING_READ;
-                lastAnswerAt = Clock.now();
+                lastResponseAt = Clock.now();
             }
-            listener.onAttemptEnded(ended, reason, answer);
+            listener.onAttemptEnded(ended, reason, response);
         }
 
         @Override
@@ -391,12 +409,12 @@
             if (state == State.FINISHING_READ && !decoder.isInsideFrame()) {
                 returnToPool();
             } else if (state == State.FINISHING_READ || state == State.IDLE && decoder.isInsideFrame()) {
-                // Part of an unsolicited answer, whose rest would be taken for the answer to the next request.
+                // Part of an unsolicited response, whose rest would be taken for the response to the next request.
                 close();
             }
         }
 
-        /** Makes the connection idle, or closes it if its host drains, moved or restarted. */
+        /** Makes the connection idle; closes it if its host is draining, or moved or restarted, or it is broken. */
         private void returnToPool() {
             if (host.sendDeadline != NO_DEADLINE || generation != host.generation || !channel.isActive()) {
                 close();
@@ -448,13 +466,13 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!(cause instanceof java.io.IOException)) {
+            if (!(cause instanceof IOException)) {
                 Counters.log("unexpected exception on a cache host connection", cause);
             }
             ctx.close();
         }
 
-        /** The connection could not be opened, or was closed: ends the attempt on it, if any, for this reason. */
+        /** Handles that the connection was closed or could not be opened: ends the attempt on it, if any. */
         private void onClosed(Reason reason) {
             state = State.CLOSED;
             removeFromIdle();
--- a/src/main/java/eiderscale/net/MetricsLine.java
+++ b/src/main/java/eiderscale/net/MetricsLine.java
@@ -6,6 +6,7 @@
 final class MetricsLine {
     private final StringBuilder text = new StringBuilder();
 
+    /** Appends a count. */
     MetricsLine count(String name, long count) {
         text.append(name).append(' ').append(count).append(' ');
         return this;
--- a/src/main/java/eiderscale/net/Node.java
+++ b/src/main/java/eiderscale/net/Node.java
@@ -47,7 +47,7 @@
 
     /** Completes once requests may be served with the current list of hosts; the program should not listen earlier. */
     Future<Void> ready() {
-        return balancer.hostListReady();
+        return balancer.ready();
     }
 
     /** Starts listening for clients. May be called again if it failed. */
@@ -128,7 +128,7 @@
 
     private void answerOpenRequests() {
         try {
-            balancer.answerAllWithoutModule();
+            balancer.replyToAllWithoutModule();
         } catch (RuntimeException e) {
             Counters.log("unexpected exception", e);
         }
