--- a/src/main/java/eiderscale/net/Acceptor.java
+++ b/src/main/java/eiderscale/net/Acceptor.java
@@ -12,7 +12,7 @@
 
 /**
  * Accepts client connections. A failed accept call is retried after a short delay, and the listening socket is closed
- * only once no connection can be left in the accept queue because of such a failure. All methods are to be called on
+ * only once no connection can be left in the accept queue because of such a failure. All methods must be called on
  * the event loop.
  */
 @ChannelHandler.Sharable
@@ -47,7 +47,7 @@
         this.listener = listener;
     }
 
-    /** Binds the listening socket; may be called again after a failure. */
+    /** Opens and binds the listening socket; may be called again after a failure. */
     ChannelFuture listen(InetSocketAddress bindAddress) {
         this.bindAddress = bindAddress;
         ListeningChannel newChannel = openChannel();
@@ -67,7 +67,7 @@
         try {
             newChannel.config().setOption(ChannelOption.SO_REUSEADDR, true);
             newChannel.config().setBacklog(ACCEPT_BACKLOG);
-            // Many at once, to empty the accept queue in one go: connections that wait in it count as accepted.
+            // Allows the accept queue to be emptied in one go: to the clients, connections in it are accepted already.
             newChannel.config().setRecvByteBufAllocator(
                     new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_READ));
             newChannel.pipeline().addLast(this);
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Closes the listening socket; while accept calls fail, only after the waiting connections were accepted. */
+    /** Closes the listening socket; after a failed accept call, only once the accept queue has been emptied. */
     void close() {
         isClosing = true;
         closeUnlessFailing();
@@ -88,7 +88,7 @@
         return state == State.CLOSED;
     }
 
-    /** Closes the listening socket once that was asked for and no accept call has failed since the queue was empty. */
+    /** Closes the listening socket if that was requested and no accept call has failed since the queue was empty. */
     private void closeUnlessFailing() {
         if (isClosing && (channel == null || !channel.isFailing())) {
             state = State.CLOSED;
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object message) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         ListeningChannel.AcceptedChannel accepted = (ListeningChannel.AcceptedChannel) message;
         listener.onAccepted(accepted);
         loop.register(accepted).addListener(done -> {
@@ -109,16 +109,16 @@
         });
     }
 
-    /** Opens a new listening socket if the present one was closed, as no client could connect any more. */
+    /** Has a new listening socket opened if this one was closed unexpectedly, as no client could connect otherwise. */
     @Override
-    public void channelInactive(ChannelHandlerContext context) {
+    public void channelInactive(ChannelHandlerContext ctx) {
         if (!isClosing && !loop.isShuttingDown()) {
             Counters.log("listening socket closed unexpectedly; opening a new one");
             loop.schedule(this::reopen, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Opens a new listening socket, after a delay again and again until that succeeds. */
+    /** Opens a new listening socket; retries after a delay until that succeeds. */
     private void reopen() {
         if (isClosing) {
             state = State.CLOSED;
@@ -137,12 +137,12 @@
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext context) {
+    public void channelReadComplete(ChannelHandlerContext ctx) {
         closeUnlessFailing();
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         counters.recordAcceptFailure(cause);
         if (state != State.LISTENING) {
             return;
@@ -156,7 +156,8 @@
         if (state == State.PAUSED && channel.isOpen()) {
             state = State.LISTENING;
             channel.config().setAutoRead(true);
-            // Without waiting connections the selector reports nothing, and the failure would never end.
+            // Called without a selector event: there is none if the queue is empty, and the channel would remain in
+            // its failing state.
             channel.acceptPending();
         }
     }
--- a/src/main/java/eiderscale/net/Attempt.java
+++ b/src/main/java/eiderscale/net/Attempt.java
@@ -2,20 +2,20 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One try to have a request executed by a cache host. */
+/** One attempt to have a request executed by a cache host. */
 final class Attempt {
     final Exchange exchange;
     /** Position among the request's attempts, from 0. */
     final int index;
-    /** When the decision module asked for it, in nanoseconds of {@link Clock}. */
+    /** When the decision module sent it, in nanoseconds of {@link Clock}; its connection may not be open yet then. */
     final long sentAt;
     /** When it times out, in nanoseconds of {@link Clock}. */
     final long deadline;
-    /** Whether it has its outcome, of which there is exactly one. */
+    /** Whether its outcome is known; each attempt has exactly one outcome. */
     boolean isCompleted;
     /** Ends the attempt at its {@link #deadline}. */
     Future<?> deadlineTimer;
-    /** The connection that it is or will be sent on, which may still be connecting; null before and after. */
+    /** The connection that it is sent on, which may still be connecting; null before it has one and after its end. */
     HostPool.PooledConnection connection;
 
     Attempt(Exchange exchange, int index, long sentAt, long deadline) {
@@ -25,7 +25,10 @@
         this.deadline = deadline;
     }
 
-    /** Whether its last byte has been written to the socket: from then on the cache host may execute it. */
+    /**
+     * Whether its last byte has been written to the socket: from then on the cache host may execute it. False
+     * again after its end.
+     */
     boolean isFullyWritten() {
         return connection != null && connection.isWritten();
     }
--- a/src/main/java/eiderscale/net/Balancer.java
+++ b/src/main/java/eiderscale/net/Balancer.java
@@ -77,8 +77,8 @@
         this.pool = new HostPool(site, loop, counters, maxHostConnections, this);
         this.discovery = new Discovery(config, loop, counters, this);
         this.decisionModule = moduleFactory.create(site.settings, config.randomSeed(), this);
-        Catalog configured = config.initialCatalog();
-        onList(Api.ListMode.CACHED, configured.members());
+        HostList configured = config.initialHostList();
+        onHostList(Api.ListMode.CACHED, configured.members());
         discovery.start();
     }
 
@@ -107,7 +107,7 @@
         heldValueBytes += valueBytes;
         exchange.deadlineTimer = loop.schedule(() -> replyIfOverdue(exchange),
                 deadline + OVERDUE_REPLY_DELAY_NS - nowNs, TimeUnit.NANOSECONDS);
-        Api.Request request = new Api.Request(exchange.id, command.requestClass, command.tenant,
+        Api.Request request = new Api.Request(exchange.id, command.requestClassIndex, command.tenantIndex,
                 command.numericKey(), deadline, command.expectedWorkNs, command.isRetry, command.isWrite);
         dispatch(exchange, () -> decisionModule.onRequest(Clock.now(), request));
         return exchange;
@@ -136,9 +136,9 @@
     }
 
     @Override
-    public void onList(Api.ListMode mode, List<Catalog.Member> members) {
+    public void onHostList(Api.ListMode mode, List<HostList.Member> members) {
         pool.applyHostList(mode, members);
-        List<Api.Server> servers = members.stream().map(Catalog.Member::server).toList();
+        List<Api.Server> servers = members.stream().map(HostList.Member::server).toList();
         dispatch(null, () -> decisionModule.onServerList(Clock.now(), mode, servers));
     }
 
@@ -162,8 +162,8 @@
     }
 
     /** Completes when the host list may be used to serve requests; see {@link Discovery}. */
-    Future<Void> ready() {
-        return discovery.ready();
+    Future<Void> hostListReady() {
+        return discovery.hostListReady();
     }
 
     /** Continues to watch the host list at another address. */
--- a/src/main/java/eiderscale/net/ClassPreloader.java
+++ b/src/main/java/eiderscale/net/ClassPreloader.java
@@ -26,7 +26,12 @@
     private ClassPreloader() {
     }
 
-    /** Loads all listed classes. Fails if a file cannot be read or a class is missing; it may then be called again. */
+    /**
+     * Loads the classes of {@link #allClassNames} without initializing them. May be called again after a failure.
+     *
+     * @throws IOException if the names cannot be read
+     * @throws ClassNotFoundException if a class is missing or its file cannot be read
+     */
     static void load() throws IOException, ClassNotFoundException {
         ClassLoader loader = ClassPreloader.class.getClassLoader();
         for (String name : allClassNames()) {
@@ -34,14 +39,14 @@
         }
     }
 
-    /** Returns the listed library classes and all classes of this program. */
+    /** Returns the names of the listed library classes and of all classes of this program. */
     static List<String> allClassNames() throws IOException {
-        List<String> names = new ArrayList<>(libraryClasses());
-        names.addAll(ownClasses());
+        List<String> names = new ArrayList<>(libraryClassNames());
+        names.addAll(ownClassNames());
         return names;
     }
 
-    private static List<String> libraryClasses() throws IOException {
+    private static List<String> libraryClassNames() throws IOException {
         try (InputStream list = ClassPreloader.class.getResourceAsStream(LIBRARY_CLASSES_FILE)) {
             if (list == null) {
                 throw new IOException("missing resource: " + LIBRARY_CLASSES_FILE);
@@ -50,7 +55,7 @@
         }
     }
 
-    private static List<String> ownClasses() throws IOException {
+    private static List<String> ownClassNames() throws IOException {
         Path location = codeLocation();
         if (!Files.isDirectory(location)) {
             try (JarFile jar = new JarFile(location.toFile())) {
@@ -62,7 +67,7 @@
         }
     }
 
-    /** The jar or the directory that this program's classes are loaded from. */
+    /** Returns the jar or the directory that this program's classes are loaded from. */
     private static Path codeLocation() throws IOException {
         try {
             return Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
--- a/src/main/java/eiderscale/net/ClientServer.java
+++ b/src/main/java/eiderscale/net/ClientServer.java
@@ -22,33 +22,41 @@
  * Server for client connections: decodes pipelined commands and writes the replies in the order of the commands.
  *
  * <p>Limits per connection and in total bound the commands in progress, the undecoded input and the unsent replies.
- * Idle, silent and slow clients are disconnected. All methods are to be called on the event loop.
+ * Clients are disconnected if they do not complete a command in time, or do not read their replies while too many are
+ * unsent; idle ones are disconnected when new connections need their place. All methods must be called on the event
+ * loop.
  */
 final class ClientServer {
-    /** Commands of one connection awaiting their replies; above it, input is buffered undecoded or rejected. */
+    /** Maximum commands of one connection awaiting their replies; further input is buffered undecoded or rejected. */
     private static final int MAX_PIPELINED_COMMANDS = 64;
-    /** Undecoded input buffered over all connections; above it, reading stops on connections with large buffers. */
+    /**
+     * Maximum undecoded input buffered over all connections. Above it, connections that buffer more than
+     * {@link #MIN_BUFFER_BYTES_PER_CONNECTION} are not read from.
+     */
     private static final long MAX_TOTAL_BUFFERED_BYTES = 4L * 1024 * 1024;
     /** Undecoded input that a connection may buffer even while the total is exceeded. */
     private static final int MIN_BUFFER_BYTES_PER_CONNECTION = 32 * 1024;
-    /** Rejections queued on a connection whose buffered input is over the limit; above it, reading stops. */
+    /**
+     * Maximum rejections queued on a connection to reduce its buffered input. Above it, no more are added, and as long
+     * as the input exceeds its limit the connection is not read from.
+     */
     private static final int MAX_REJECTION_BYTES = 256 * 1024;
-    /** Unsent replies over all connections; above it, connections with a full write buffer are closed. */
+    /** Maximum unsent replies over all connections; above it, connections with a full write buffer are closed. */
     private static final long MAX_TOTAL_UNSENT_BYTES = 8L * 1024 * 1024;
-    /** A connection that has been idle for less is not evicted: a request may be on its way and would be lost. */
-    private static final long MIN_IDLE_BEFORE_EVICTION_NS = 2 * Clock.SECOND;
+    /** A connection that has been idle for less is not evicted: a request may be in transit and would be lost. */
+    private static final long EVICTION_MIN_IDLE_NS = 2 * Clock.SECOND;
     /**
-     * The same for a connection that has received nothing yet. A client has no reason to wait with its first
-     * command, so after this time the peer counts as silent.
+     * The same for a connection that has received no command yet. A client has no reason to wait with its first
+     * command, so this is shorter.
      */
-    private static final long MIN_SILENCE_BEFORE_EVICTION_NS = 500 * Clock.MILLISECOND;
-    /** A peer that has sent no complete command by then is disconnected; the limit to be met is 3 s. */
+    private static final long EVICTION_MIN_IDLE_UNUSED_NS = 500 * Clock.MILLISECOND;
+    /** A peer that has sent no complete command by then is disconnected; this is required within 3 s. */
     private static final long FIRST_COMMAND_TIMEOUT_MS = 2_500;
-    /** Lower bound of that timeout after deducting the time that failing accept calls held up the connection. */
+    /** Lower bound of that timeout after deducting the time that failing accept calls delayed the connection. */
     private static final long MIN_FIRST_COMMAND_TIMEOUT_MS = 100;
-    /** A client that sends nothing for this long within a command gets an error, and its connection is closed. */
+    /** A client that sends nothing for this long within a command gets an error reply and is disconnected. */
     private static final long INCOMPLETE_COMMAND_TIMEOUT_MS = 2_500;
-    /** How long after our FIN the client may take to close the connection before it is closed here. */
+    /** How long the client may take to close the connection after our FIN, before it is closed here. */
     private static final long LINGER_TIMEOUT_MS = 1_000;
     /** How long the client may take to read the last replies, which are written before our FIN. */
     private static final long FINAL_FLUSH_TIMEOUT_MS = 10_000;
@@ -67,7 +75,7 @@
     private final Set<Connection> idleConnections = new LinkedHashSet<>();
     /** Connections in state {@link State#LINGERING}, the oldest first. */
     private final Set<Connection> lingeringConnections = new LinkedHashSet<>();
-    /** Bytes of replies that are not written to their sockets yet, over all connections. */
+    /** Bytes of replies not yet written to their sockets, over all connections. */
     private long unsentBytes;
     /** Bytes of undecoded input, over all connections. */
     private long totalBufferedBytes;
@@ -76,6 +84,8 @@
     private boolean isClosing;
 
     /**
+     * Creates a server that does not listen yet.
+     *
      * @param maxConnections connections on which requests are served
      * @param maxOverLimitConnections connections above that limit that are kept open only to reject their requests;
      *         beyond these, new connections are closed at once
@@ -102,7 +112,7 @@
         channel.pipeline().addLast(connection.decoder, connection);
     }
 
-    /** Stops accepting and closes each connection once all its requests have been answered. */
+    /** Stops accepting connections, and ends each connection once all its replies have been written. */
     void close() {
         isClosing = true;
         acceptor.close();
@@ -117,12 +127,12 @@
         return acceptor.isClosed() && connectionCount() == 0;
     }
 
-    /** The number of connections that are not closed, lingering ones included. */
+    /** Returns the number of connections that are not closed, lingering ones included. */
     int connectionCount() {
         return connections.size() + lingeringConnections.size();
     }
 
-    /** Current values for the periodic line of metrics. */
+    /** Returns the current values for the metrics line. */
     String gauges() {
         return "clients " + connectionCount() + " shed " + rejectedCommands;
     }
@@ -149,9 +159,9 @@
         private MetaFrame command;
         /** The encoded reply, null until it is complete. */
         private ByteBuf reply;
-        /** When the reply was complete ({@link Clock}). */
+        /** When the reply was complete, in nanoseconds of {@link Clock}. */
         private long completedAt;
-        /** The request in progress, null if the command is none. */
+        /** The request, if the command is one and has been submitted to the balancer; else null. */
         private Exchange exchange;
 
         PendingReply(Connection connection, MetaFrame command) {
@@ -170,43 +180,44 @@
         }
     }
 
-    /** One client connection, the last handler of its channel's pipeline. */
+    /** One client connection; also the last handler of its channel's pipeline. */
     private final class Connection extends SimpleChannelInboundHandler<MetaFrame> {
         private final RetryingSocketChannel channel;
         final MetaDecoder decoder = MetaDecoder.forCommands();
         /** The reply queue: one entry per command, in the order of arrival. */
         private final Deque<PendingReply> pendingReplies = new ArrayDeque<>();
-        /** Entries for the commands of the current read, which are not processed yet. */
+        /** Entries for the commands of the current read, which are processed once it is complete. */
         private final List<PendingReply> readBatch = new ArrayList<>();
         /** The last entry of the queue while it collects the rejections of successive commands; null otherwise. */
         private PendingReply reject;
         private State state = State.OPEN;
         /**
-         * Set from the first command of a read until all its commands are processed. They are processed together,
-         * before a reply is written or the connection ended, and only once it is known whether the read reached
-         * the end of the stream: no request is started for a client that has left.
+         * Set from the first command of a read until all its commands are processed. Until then no reply is written
+         * and the connection is not ended. The commands are processed together once it is known whether the read
+         * reached the end of the stream: no request is started for a client that has disconnected.
          */
         private boolean isReadBatchPending;
-        /** Whether {@link #resumeDecoding} is a task of the event loop. */
+        /** Whether {@link #resumeDecoding} is queued as a task of the event loop. */
         private boolean isResumeScheduled;
+        /** Whether a complete command was received, valid or not. */
         private boolean hasReceivedFrame;
         /** Whether a readiness probe ({@code mn}), a well-formed request or one rejected unparsed was received. */
         private boolean hasReceivedValidCommand;
         /** Closes the connection of a peer that sends no complete command. */
         private Future<?> firstCommandTimer;
-        /** Ends the connection when the rest of a command does not arrive; null while not running. */
+        /** Ends the connection if the rest of a command does not arrive in time; null while not running. */
         private Future<?> incompleteCommandTimer;
-        /** When the last read was complete ({@link Clock}). */
+        /** When the last read was complete, in nanoseconds of {@link Clock}. */
         private long lastReadAt;
         /** Bounds the state {@link State#LINGERING}. */
         private Future<?> lingerTimer;
-        /** Since when the connection has been idle ({@link Clock}); valid while it is. */
+        /** Since when the connection has been idle, in nanoseconds of {@link Clock}; valid while it is. */
         private long idleSince;
-        /** Replies handed to the channel and not written to the socket yet. */
+        /** Replies passed to the channel but not yet written to the socket. */
         private int pendingWrites;
         /** How long the input of the next read may have waited because accept or read calls failed. */
         private long receiveDelayNs;
-        /** This connection's share of {@link #totalBufferedBytes}. */
+        /** This connection's part in {@link #totalBufferedBytes}. */
         private int countedBufferedBytes;
 
         Connection(ListeningChannel.AcceptedChannel channel) {
@@ -245,8 +256,9 @@
         }
 
         /**
-         * Ends the longest idle connection that may be evicted; returns whether there was one. Lingering connections
-         * above {@link #maxOverLimitConnections} are closed for good, so that evictions use up no sockets.
+         * Ends the longest idle connection that may be evicted; returns whether there was one. If more than
+         * {@link #maxOverLimitConnections} are lingering then, the oldest of these is closed, so that evicted
+         * connections do not use up the sockets.
          */
         private boolean evictIdleConnection() {
             long now = Clock.now();
@@ -263,10 +275,13 @@
             return false;
         }
 
-        /** 0 for a peer that sent invalid commands only: it may be evicted as soon as it has its error replies. */
+        /**
+         * Returns how long the connection must have been idle to be evicted: 0 after invalid commands only, as such a
+         * peer may be evicted as soon as it has its error replies.
+         */
         private long minIdleBeforeEvictionNs() {
-            return hasReceivedValidCommand ? MIN_IDLE_BEFORE_EVICTION_NS
-                    : hasReceivedFrame ? 0 : MIN_SILENCE_BEFORE_EVICTION_NS;
+            return hasReceivedValidCommand ? EVICTION_MIN_IDLE_NS
+                    : hasReceivedFrame ? 0 : EVICTION_MIN_IDLE_UNUSED_NS;
         }
 
         @Override
@@ -299,7 +314,7 @@
             }
         }
 
-        /** Processes the commands of the last read in their order; none if the client closed behind them. */
+        /** Processes the commands of the last read in their order; none if the client has closed the connection. */
         private void processReadBatch() {
             if (!channel.isOpen()) {
                 return; // The read reached the end of the stream; channelInactive follows.
@@ -317,6 +332,10 @@
             startIncompleteCommandTimer();
         }
 
+        /**
+         * Starts the timer if the last read ended within a command and the timer is not running. The first command of
+         * a connection is covered by {@link #firstCommandTimer} instead.
+         */
         private void startIncompleteCommandTimer() {
             lastReadAt = Clock.now();
             if (incompleteCommandTimer == null && hasReceivedFrame && decoder.hasIncompleteFrame()) {
@@ -325,7 +344,10 @@
             }
         }
 
-        /** Ends the connection unless the client has sent more or completed its command; else waits on. */
+        /**
+         * Ends the connection if a command is incomplete and no input has arrived within the timeout; if some has,
+         * restarts the timer for the remaining time.
+         */
         private void checkIncompleteCommand() {
             incompleteCommandTimer = null;
             if (state == State.LINGERING || state == State.CLOSED || !decoder.hasIncompleteFrame()) {
@@ -376,7 +398,7 @@
             }
         }
 
-        /** Whether the undecoded input of this connection, or its part in the total of all, exceeds the limit. */
+        /** Whether this connection buffers too much undecoded input, by itself or while the total is over its limit. */
         private boolean isBufferLimitExceeded() {
             return decoder.isBufferFull() || totalBufferedBytes > MAX_TOTAL_BUFFERED_BYTES
                     && decoder.bufferedBytes() > MIN_BUFFER_BYTES_PER_CONNECTION;
@@ -440,13 +462,14 @@
             while (!pendingReplies.isEmpty() && pendingReplies.peek().reply != null) {
                 PendingReply pending = pendingReplies.poll();
                 reject = pending == reject ? null : reject;
-                int bytes = pending.reply.readableBytes();
-                long writeAt = Clock.now();
+                int replyBytes = pending.reply.readableBytes();
+                long writeStartedAt = Clock.now();
                 pendingWrites++;
                 channel.write(pending.reply).addListener(done -> {
-                    unsentBytes -= bytes;
+                    unsentBytes -= replyBytes;
                     pendingWrites--;
-                    counters.recordReplyWrite(writeAt - pending.completedAt, Clock.now() - pending.completedAt);
+                    counters.recordReplyWrite(writeStartedAt - pending.completedAt,
+                            Clock.now() - pending.completedAt);
                 });
                 hasWritten = true;
             }
@@ -468,7 +491,7 @@
             if (pendingReplies.isEmpty() && state == State.DRAINING && !decoder.isPaused() && !isResumeScheduled) {
                 startLingeringClose();
             } else if (unsentBytes > MAX_TOTAL_UNSENT_BYTES && !channel.isWritable()) {
-                // Keeps a client that does not read its replies from using up the memory for all.
+                // Prevents a client that does not read its replies from exhausting the memory.
                 channel.close();
             } else {
                 if (pendingReplies.isEmpty()) {
@@ -487,20 +510,20 @@
 
         private void resumeDecoding() {
             isResumeScheduled = false;
-            ChannelHandlerContext context = channel.pipeline().context(decoder);
-            if (context == null) {
+            ChannelHandlerContext ctx = channel.pipeline().context(decoder);
+            if (ctx == null) {
                 return; // The channel was closed in the meantime.
             }
             try {
                 if (pendingReplies.size() < MAX_PIPELINED_COMMANDS) {
-                    decoder.resume(context);
+                    decoder.resume(ctx);
                 } else {
-                    decoder.decodeForRejection(context);
+                    decoder.decodeForRejection(ctx);
                 }
             } catch (Exception e) {
-                exceptionCaught(context, e);
+                exceptionCaught(ctx, e);
             }
-            channelReadComplete(context);
+            channelReadComplete(ctx);
         }
 
         /** Half-closes once all replies are written, then discards input until the client closes. */
@@ -516,7 +539,7 @@
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
                 channel.shutdownOutput().addListener(halfClosed -> {
                     if (!halfClosed.isSuccess()) {
-                        // Without a FIN the client cannot know and may go on sending commands that are discarded.
+                        // Without a FIN the client would not notice, and might send commands that are discarded.
                         close();
                     }
                 });
@@ -571,7 +594,7 @@
             channel.close();
         }
 
-        /** The opaque tokens of the requests in progress, for the log. */
+        /** Returns the opaque tokens of the requests in progress, for the log. */
         private List<String> openRequestOpaques() {
             return pendingReplies.stream().filter(pending -> pending.reply == null && pending.exchange != null)
                     .map(pending -> pending.exchange.command.opaque).toList();
--- a/src/main/java/eiderscale/net/Clock.java
+++ b/src/main/java/eiderscale/net/Clock.java
@@ -1,9 +1,8 @@
 package eiderscale.net;
 
 /**
- * The program's clock: Unix time in nanoseconds, but monotonic. It is {@link System#nanoTime} plus an offset that is
- * fixed when the program starts, so that it never goes back, and can be compared with the start times that discovery
- * sends.
+ * The program's clock: monotonic Unix time in nanoseconds. It is {@link System#nanoTime} plus an offset that is fixed
+ * when the program starts, so it never goes back and can be compared with the start times that discovery sends.
  */
 final class Clock {
     /** Nanoseconds in a millisecond. */
@@ -15,7 +14,7 @@
     private Clock() {
     }
 
-    /** The present time in nanoseconds since the Unix epoch. */
+    /** Returns the current time in nanoseconds since the Unix epoch. */
     static long now() {
         return System.nanoTime() + UNIX_OFFSET_NS;
     }
--- a/src/main/java/eiderscale/net/Command.java
+++ b/src/main/java/eiderscale/net/Command.java
@@ -7,23 +7,23 @@
 import java.util.Arrays;
 
 /**
- * A client's validated read ({@code mg}) or write ({@code ms}), with all that is needed to forward it unchanged to a
- * cache host. Its {@code P} flag holds parameters, a comma-separated list of {@code name=value}.
+ * A client's validated read ({@code mg}) or write ({@code ms}), with all that is needed to forward it to a cache host.
+ * Its {@code P} flag holds parameters, a comma-separated list of {@code name=value}.
  */
 final class Command {
-    /** A rejection without a retry-after time. */
+    /** The reply that rejects a command, without a time after which to retry. */
     static final String BUSY_REPLY = "SERVER_ERROR busy\r\n";
-    private static final int MAX_KEY_LENGTH = 250;
-    private static final int MAX_OPAQUE_LENGTH = 32;
-    /** Digits of a key that fits a long. */
+    private static final int MAX_KEY_BYTES = 250;
+    private static final int MAX_OPAQUE_BYTES = 32;
+    /** Maximum number of hexadecimal digits that fit a long. */
     private static final int MAX_HEX_KEY_DIGITS = 16;
     /**
-     * Upper bound for a client's timeout and expected work. No client seriously asks for more, and sums with these
-     * values must not overflow.
+     * Upper bound for a client's timeout and expected work; larger values are reduced to it. No client needs more, and
+     * sums with these values must not overflow.
      */
     private static final long MAX_TIMEOUT_MS = 3_600_000;
 
-    /** The command is invalid; the message is the error reply without CRLF. */
+    /** Thrown if a command is invalid; the message is the error reply without its CRLF. */
     static final class MalformedCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -40,32 +40,37 @@
     /** The value to write, null for a read. */
     final byte[] value;
     /** Index of the request class in the settings. */
-    final int requestClass;
+    final int requestClassIndex;
     /** Index of the tenant in the settings. */
-    final int tenant;
-    /** How long the client waits for the reply, from the parameter {@code d}. */
+    final int tenantIndex;
+    /** How long the client waits for the reply, from the parameter {@code d}; at most {@link #MAX_TIMEOUT_MS}. */
     final long timeoutMs;
     /** Whether the client sent the request before, from the parameter {@code r}. */
     final boolean isRetry;
     /** Expected work in nanoseconds, 0 if unknown; from the parameter {@code h}, in microseconds. */
     final long expectedWorkNs;
     private final String[] parameters;
-    /** Index of {@code d} in {@link #parameters}. */
+    /** Index of the first {@code d} in {@link #parameters}. */
     private int timeoutIndex = -1;
 
-    /** @throws MalformedCommandException if a part is missing, invalid or names what the settings do not hold */
+    /**
+     * Parses and validates a command.
+     *
+     * @throws MalformedCommandException if a part is missing or invalid, or the settings do not define the request
+     *         class or the tenant
+     */
     Command(MetaFrame frame, SiteSettings site) throws MalformedCommandException {
         isWrite = frame.tokenIs(0, "ms");
         value = frame.data();
-        if (frame.tokens().size() < 2 || frame.tokens().get(1).length() > MAX_KEY_LENGTH) {
+        if (frame.tokens().size() < 2 || frame.tokens().get(1).length() > MAX_KEY_BYTES) {
             throw new MalformedCommandException("bad key");
         }
         key = frame.tokens().get(1);
-        int firstFlag = isWrite ? 3 : 2;
+        int firstFlagIndex = isWrite ? 3 : 2;
         String opaqueFlag = null;
         String parameterList = null;
         boolean wantsValue = false;
-        for (String flag : frame.tokens().subList(firstFlag, frame.tokens().size())) {
+        for (String flag : frame.tokens().subList(firstFlagIndex, frame.tokens().size())) {
             switch (flag.charAt(0)) {
                 case 'O' -> opaqueFlag = flag.substring(1);
                 case 'P' -> parameterList = flag.substring(1);
@@ -73,7 +78,7 @@
                 default -> throw new MalformedCommandException("unknown flag");
             }
         }
-        if (opaqueFlag == null || opaqueFlag.isEmpty() || opaqueFlag.length() > MAX_OPAQUE_LENGTH) {
+        if (opaqueFlag == null || opaqueFlag.isEmpty() || opaqueFlag.length() > MAX_OPAQUE_BYTES) {
             throw new MalformedCommandException("bad or missing opaque");
         }
         if (wantsValue == isWrite) {
@@ -81,8 +86,8 @@
         }
         opaque = opaqueFlag;
         parameters = parameterList == null ? new String[0] : parameterList.split(",");
-        requestClass = requireKnown(site.requestClass(parameter("c")), "class");
-        tenant = requireKnown(site.tenant(parameter("t")), "tenant");
+        requestClassIndex = requireKnown(site.requestClassIndex(parameter("c")), "class");
+        tenantIndex = requireKnown(site.tenantIndex(parameter("t")), "tenant");
         timeoutMs = Math.min(MAX_TIMEOUT_MS, nonNegativeParameter("d", -1));
         if (timeoutMs < 0) {
             throw new MalformedCommandException("missing d");
@@ -94,7 +99,7 @@
         }
     }
 
-    /** The index, unless it is null: the settings hold no such name. */
+    /** Returns the index; throws if it is null, which means that the settings do not define the name. */
     private static int requireKnown(Integer index, String kind) throws MalformedCommandException {
         if (index == null) {
             throw new MalformedCommandException("unknown " + kind);
@@ -102,13 +107,13 @@
         return index;
     }
 
-    /** The value of the first parameter of that name, null if absent. */
+    /** Returns the value of the first parameter of that name, or null if there is none. */
     private String parameter(String name) {
-        return Arrays.stream(parameters).filter(p -> p.startsWith(name + "=")).findFirst()
-                .map(p -> p.substring(name.length() + 1)).orElse(null);
+        return Arrays.stream(parameters).filter(parameter -> parameter.startsWith(name + "=")).findFirst()
+                .map(parameter -> parameter.substring(name.length() + 1)).orElse(null);
     }
 
-    /** The value of a numeric parameter, or the default, which may be negative, if it is absent. */
+    /** Returns the value of a numeric parameter; if it is absent, the default, which may be negative. */
     private long nonNegativeParameter(String name, long defaultValue) throws MalformedCommandException {
         String text = parameter(name);
         try {
@@ -117,12 +122,15 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Reported below.
+            // Thrown below.
         }
         throw new MalformedCommandException("bad " + name);
     }
 
-    /** The key for the decision module: the value of a hexadecimal key, else a hash that all balancers share. */
+    /**
+     * Returns the key for the decision module, which is the same at all balancers: the value of a key of up to 16
+     * hexadecimal digits, or a hash of any other key.
+     */
     long numericKey() {
         try {
             if (key.length() <= MAX_HEX_KEY_DIGITS) {
@@ -131,10 +139,13 @@
         } catch (NumberFormatException e) {
             // Not hexadecimal.
         }
-        return Catalog.hash(key);
+        return HostList.hash(key);
     }
 
-    /** Encodes the command for a cache host: as received, except for the timeout, which is the remaining time. */
+    /**
+     * Encodes the command for a cache host, with the time that remains in place of the client's timeout. The flags are
+     * written in the fixed order {@code v}, {@code O}, {@code P}; of a repeated flag only the last is written.
+     */
     ByteBuf encode(ByteBufAllocator alloc, long remainingMs) {
         String[] updatedParameters = parameters.clone();
         updatedParameters[timeoutIndex] = "d=" + remainingMs;
--- a/src/main/java/eiderscale/net/ConfigReloader.java
+++ b/src/main/java/eiderscale/net/ConfigReloader.java
@@ -7,8 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reloads the configuration on request, on a thread of its own. A file that is unreadable or invalid may still be being
- * written: reading it is retried until it succeeds, the retry timeout passes, or another reload is requested.
+ * Reloads the configuration on request, on a thread of its own. A file that is unreadable or invalid may be incomplete
+ * because it is being written: reading it is retried until it succeeds, the retry timeout passes, or another reload is
+ * requested.
  */
 final class ConfigReloader {
     private static final long RETRY_DELAY_MS = 100;
@@ -21,11 +22,16 @@
             new ScheduledThreadPoolExecutor(1, ConfigReloader::newDaemonThread);
     private Future<?> pendingRead;
 
-    /** {@code listener}: receives each configuration that was read, in the order of the requests. */
+    /**
+     * Starts the thread that reads the configuration.
+     *
+     * @param source reads the configuration; throws an exception if it is unreadable or invalid
+     * @param listener receives each configuration that was read, in the order of the requests, on that thread
+     */
     ConfigReloader(Callable<Config> source, Consumer<Config> listener) {
         this.source = source;
         this.listener = listener;
-        // Started now, since creating a thread may fail later, when a reload is requested.
+        // Started now, since creating a thread may fail when a reload is requested.
         executor.prestartCoreThread();
     }
 
--- a/src/main/java/eiderscale/net/Discovery.java
+++ b/src/main/java/eiderscale/net/Discovery.java
@@ -27,79 +27,84 @@
  * Discovery client: watches the list of cache hosts with HTTP long polls, each from the last known revision.
  *
  * <p>With the setting {@code "discovery": "subscribe"} a watch runs from the decision module's subscription until a
- * call fails. Otherwise (automatic) it runs from the start and is retried after failures, as the deployment then
+ * call fails. Otherwise (automatic mode) it runs from the start and is retried after failures, as the deployment then
  * expects the balancer to know every change, whether or not a watch is open.
  *
- * <p>After a response timeout, a change of discovery's address or a failure on this machine, calls are retried fast for
- * a while ({@link #FAST_RETRY_PERIOD_NS}): with a shorter long-poll timeout and without involving the decision module.
+ * <p>After a response timeout, a change of discovery's address or a failure on this machine, fast retry applies for
+ * {@link #FAST_RETRY_PERIOD_NS}: failed calls are retried without involving the decision module, and the long-poll
+ * timeout is shorter.
  *
- * <p>All methods are called on the event loop.
+ * <p>All methods must be called on the event loop.
  */
 final class Discovery {
-    /**
-     * Receives every list in the order of arrival. {@link ListMode#FAILED} means that the watch has ended; the decision
-     * module decides when to subscribe again.
-     */
+    /** Receives every list in the order of arrival. */
     interface Listener {
-        void onList(ListMode mode, List<Catalog.Member> members);
+        /**
+         * Handles a list. {@link ListMode#FAILED} means that the watch has ended; the decision module decides when to
+         * subscribe again.
+         */
+        void onHostList(ListMode mode, List<HostList.Member> members);
     }
 
     /**
-     * Long-poll timeout: how long discovery may hold a call while nothing changes. The balancer is expected to know a
-     * change 6 s after the watch that missed it stopped responding; this timeout and the response grace take 3 s of
+     * Long-poll timeout: how long discovery may hold a call while nothing changes. If a watch stops responding, the
+     * balancer is expected to know a change that it missed 6 s later; this timeout and the response grace take 3 s of
      * that, which leaves 3 s for failed calls.
      */
     private static final long POLL_TIMEOUT_MS = 2_000;
     /** Long-poll timeout during fast retry: the next unresponsive call must be detected sooner. */
     private static final long FAST_POLL_TIMEOUT_MS = 500;
     /**
-     * How long past its long-poll timeout a call may remain unanswered before it times out. Discovery may queue a call
-     * for up to 2 s before it handles it.
+     * Response grace: how long beyond its long-poll timeout a call may take before it times out. Discovery may queue a
+     * call for up to 2 s before it handles it.
      */
     private static final long RESPONSE_GRACE_MS = 1_000;
-    /** Response grace during fast retry, multiplied by the number of consecutive timeouts. */
+    /** Response grace during fast retry, multiplied by the number of consecutive timeouts up to a maximum. */
     private static final long FAST_RESPONSE_GRACE_MS = 1_700;
     private static final int MAX_RESPONSE_GRACE_FACTOR = 3;
     /**
-     * Delay before retrying a failed call without involving the decision module: in automatic mode, and during fast
-     * retry. The balancer may be expected to know the list although calls fail.
+     * Delay before a failed call is retried without involving the decision module, that is, in automatic mode and
+     * during fast retry: the balancer is expected to know the list even if calls fail.
      */
     private static final long RETRY_DELAY_MS = 250;
     /**
-     * How long calls are retried fast after a response timeout, an address change or a failure on this machine. The
-     * balancer is expected to know the list at a new address 4 s after the change.
+     * Duration of fast retry after a response timeout, an address change or a failure on this machine. The balancer is
+     * expected to know the list at a new address 4 s after the change.
      */
     private static final long FAST_RETRY_PERIOD_NS = 4 * Clock.SECOND;
-    /** Longest wait at startup for the first list, which an automatic watch is expected to know from the start. */
+    /** Longest wait at startup for the first list, which is expected to be known from the start in automatic mode. */
     private static final long FIRST_LIST_TIMEOUT_MS = 2_000;
-    /** Long-poll timeout of the first call, which discovery thus answers at once even if nothing has changed. */
+    /** Long-poll timeout while the first list is awaited: discovery responds at once even if nothing has changed. */
     private static final long FIRST_POLL_TIMEOUT_MS = 1;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /**
-     * Minimum time between the starts of successive calls, in case discovery keeps answering at once. A watch may pause
-     * for up to 200 ms between calls.
+     * Minimum time between the starts of successive calls, which limits their rate if discovery always responds
+     * at once. A watch may pause for up to 200 ms between calls.
      */
     private static final long MIN_CALL_INTERVAL_MS = 100;
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
-
     /** Delay before retrying a call that failed on this machine: such calls never reach discovery and cause no load. */
     private static final long LOCAL_FAILURE_RETRY_DELAY_MS = 50;
 
-    /**
-     * {@code RESTING}: no watch, until the decision module subscribes. {@code WAITING}: the next call is scheduled.
-     * {@code CALLING}: a call is in flight, until it is answered, fails or times out.
-     */
-    private enum State { RESTING, WAITING, CALLING }
+    /** The state of the watch. */
+    private enum State {
+        /** There is no watch until the decision module subscribes. */
+        RESTING,
+        /** The next call is scheduled. */
+        WAITING,
+        /** A call is in flight until its response arrives, it fails or it times out. */
+        CALLING
+    }
 
     private InetSocketAddress address;
     private final SiteSettings site;
     private final EventLoop loop;
-    private final Connector dialer;
+    private final Connector connector;
     private final Counters counters;
     private final Listener listener;
     /** Whether the watch runs from the start, without a subscription from the decision module. */
     private final boolean isAutomatic;
-    private final Promise<Void> ready;
+    private final Promise<Void> hostListReady;
     private long revision;
     private State state = State.RESTING;
     /** The latest call, null before the first one. */
@@ -107,44 +112,45 @@
     /** The start of the next call; null before the first one. */
     private Future<?> scheduledCall;
     private long callCount;
-    /** When the latest list arrived, 0 if none has. */
+    /** When the latest list arrived, in nanoseconds of {@link Clock}; 0 if none has. */
     private long lastListAt;
-    /** Consecutive calls that timed out: each lengthens the response grace of the next, as discovery may be slow. */
+    /** Consecutive calls that timed out; they lengthen the response grace of the next, as discovery may be slow. */
     private int consecutiveTimeouts;
-    /** Until then failed calls are retried here: the decision module's backoff would take too long. */
+    /** End of fast retry, in which the decision module's backoff would take too long; nanoseconds of {@link Clock}. */
     private long fastRetryEndsAt;
 
     Discovery(Config config, EventLoop loop, Counters counters, Listener listener) {
         this.address = config.discoveryAddress();
         this.site = config.site();
         this.loop = loop;
-        this.dialer = new Connector(loop, counters);
+        this.connector = new Connector(loop, counters);
         this.counters = counters;
         this.listener = listener;
         this.isAutomatic = !site.settings.mustSubscribe();
-        this.ready = loop.newPromise();
-        this.revision = config.initialCatalog().revision();
+        this.hostListReady = loop.newPromise();
+        this.revision = config.initialHostList().revision();
     }
 
-    /** Starts the watch in automatic mode, where the decision module never subscribes. */
+    /** Starts the watch in automatic mode, in which the decision module never subscribes. */
     void start() {
         if (isAutomatic) {
             subscribe();
-            loop.schedule(() -> ready.trySuccess(null), FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> hostListReady.trySuccess(null), FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } else {
-            ready.trySuccess(null);
+            hostListReady.trySuccess(null);
         }
     }
 
     /**
-     * Completes once requests may be served with the current list: at the start if the decision module subscribes; in
-     * automatic mode when the first list arrives, or after {@link #FIRST_LIST_TIMEOUT_MS}.
+     * Returns a future that completes once requests may be served with the current host list: on {@link #start} if the
+     * decision module subscribes; in automatic mode when the first list arrives, or after
+     * {@link #FIRST_LIST_TIMEOUT_MS}.
      */
-    Future<Void> ready() {
-        return ready;
+    Future<Void> hostListReady() {
+        return hostListReady;
     }
 
-    /** Starts a watch from the last known revision unless one is running. */
+    /** Starts a watch from the last known revision, unless one is running. */
     void subscribe() {
         if (state == State.RESTING) {
             scheduleCall(0);
@@ -152,8 +158,8 @@
     }
 
     /**
-     * Continues the watch from the last known revision at another address, without delay, as the old address sends no
-     * further updates.
+     * Continues the watch from the last known revision at another address, at once, as the old address sends no further
+     * updates. Has no effect if the address is the current one.
      */
     void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -168,7 +174,7 @@
         scheduleCall(0);
     }
 
-    /** The state of the watch, for the periodic log line. */
+    /** Returns the state of the watch, for the metrics line. */
     String gauges() {
         return "discovery " + state + " calls " + callCount + " version " + revision + " heard "
                 + (lastListAt == 0 ? "never" : (Clock.now() - lastListAt) / Clock.MILLISECOND + " ms ago");
@@ -198,16 +204,16 @@
     }
 
     /**
-     * One long poll, on a connection of its own: when a persistent connection breaks, it is unknown what became of the
-     * call in flight.
+     * One long poll, on a connection of its own: if a persistent connection breaks, it is unknown whether discovery has
+     * handled the call in flight.
      */
     private final class Call extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final long id;
         private final long startedAt = Clock.now();
         private final boolean isFastRetry = isFastRetry();
-        private final long pollTimeoutMs = !ready.isDone() ? FIRST_POLL_TIMEOUT_MS
+        private final long pollTimeoutMs = !hostListReady.isDone() ? FIRST_POLL_TIMEOUT_MS
                 : isFastRetry ? FAST_POLL_TIMEOUT_MS : POLL_TIMEOUT_MS;
-        private Future<?> responseTimeout;
+        private Future<?> responseTimer;
         private Channel channel;
         private boolean hasEnded;
 
@@ -216,11 +222,11 @@
         }
 
         void start() {
-            // Set before dialing: a refused connection may fail synchronously, and fail() cancels the timeout.
-            responseTimeout = loop.schedule(this::onResponseTimeout, pollTimeoutMs + responseGraceMs(),
+            // Started before connecting: a refused connection may fail synchronously, and fail() cancels the timer.
+            responseTimer = loop.schedule(this::onResponseTimeout, pollTimeoutMs + responseGraceMs(),
                     TimeUnit.MILLISECONDS);
             try {
-                ChannelFuture connected = dialer.connect(address, CONNECT_TIMEOUT_MS, new HttpClientCodec(),
+                ChannelFuture connected = connector.connect(address, CONNECT_TIMEOUT_MS, new HttpClientCodec(),
                         new HttpObjectAggregator(MAX_RESPONSE_BYTES), this);
                 channel = connected.channel();
                 connected.addListener(done -> {
@@ -259,21 +265,21 @@
                 fail("HTTP status " + response.status().code(), false);
                 return;
             }
-            Catalog catalog;
+            HostList hostList;
             try {
-                catalog = Catalog.parse(Json.parse(ByteBufUtil.getBytes(response.content())), site);
+                hostList = HostList.parse(Json.parse(ByteBufUtil.getBytes(response.content())), site);
             } catch (ConfigException e) {
                 fail(e.getMessage(), false);
                 return;
             }
             markEnded();
             consecutiveTimeouts = 0;
-            revision = catalog.revision();
+            revision = hostList.revision();
             lastListAt = Clock.now();
             long delayMs = Math.max(0, MIN_CALL_INTERVAL_MS - (Clock.now() - startedAt) / Clock.MILLISECOND);
             scheduleCall(delayMs);
-            listener.onList(catalog.isFull() ? ListMode.FULL : ListMode.DELTA, catalog.members());
-            if (ready.trySuccess(null)) {
+            listener.onHostList(hostList.isFull() ? ListMode.FULL : ListMode.DELTA, hostList.members());
+            if (hostListReady.trySuccess(null)) {
                 Counters.log("first list: revision " + revision + ", " + describe());
             }
         }
@@ -290,10 +296,10 @@
 
         private void markEnded() {
             hasEnded = true;
-            responseTimeout.cancel(false);
+            responseTimer.cancel(false);
         }
 
-        /** Ends the call without notifying anyone; returns false if it had already ended. */
+        /** Ends the call without notifying the listener; returns false if it had already ended. */
         boolean terminate() {
             if (hasEnded) {
                 return false;
@@ -306,8 +312,8 @@
         }
 
         /**
-         * Calls again at once. The decision module is not told and keeps its list: an unresponsive watch looks to it
-         * like one without changes.
+         * Calls again at once. The decision module is not notified and keeps its list: to it, an unresponsive watch
+         * looks like one without changes.
          */
         private void onResponseTimeout() {
             if (terminate()) {
@@ -318,7 +324,11 @@
             }
         }
 
-        /** {@code isLocalFailure}: the call did not reach discovery, so that retrying it soon puts no load on it. */
+        /**
+         * Ends the call as failed, and schedules its retry or ends the watch.
+         *
+         * @param isLocalFailure whether the call did not reach discovery, so that retrying it soon puts no load on it
+         */
         private void fail(String reason, boolean isLocalFailure) {
             if (!terminate()) {
                 return;
@@ -331,7 +341,7 @@
                 scheduleCall(RETRY_DELAY_MS);
             } else {
                 state = State.RESTING;
-                listener.onList(ListMode.FAILED, List.of());
+                listener.onHostList(ListMode.FAILED, List.of());
             }
         }
 
--- a/src/main/java/eiderscale/net/DrainingRecvByteBufAllocator.java
+++ b/src/main/java/eiderscale/net/DrainingRecvByteBufAllocator.java
@@ -6,13 +6,14 @@
 
 /**
  * Continues the read loop until nothing is left to read, so that the end of a client's stream is detected together with
- * its last commands and not after them. A short read does not end the loop, as it does not mean that the socket is
- * empty; the loop is bounded by a number of bytes and of reads.
+ * its last commands and not after them. A read that does not fill the buffer does not end the loop, as it does not mean
+ * that the socket is empty; the loop is bounded by a number of bytes and a number of reads.
  */
 @SuppressWarnings("deprecation") // RecvByteBufAllocator.newHandle() returns the deprecated type Handle.
 final class DrainingRecvByteBufAllocator implements RecvByteBufAllocator {
     private static final long MAX_BYTES_PER_READ_LOOP = 1024 * 1024;
     private static final int MAX_READS_PER_READ_LOOP = 4_096;
+
     /** Chooses the sizes of the buffers. */
     private final RecvByteBufAllocator bufferSizer = new AdaptiveRecvByteBufAllocator();
 
--- a/src/main/java/eiderscale/net/Exchange.java
+++ b/src/main/java/eiderscale/net/Exchange.java
@@ -5,13 +5,15 @@
 import java.util.List;
 
 /**
- * A client's request and its reply: kept from the arrival of the request until its last attempt has an outcome,
- * which may come after the reply. Used on the event loop only.
+ * A client's request with its attempts and its reply. It is kept until the reply has been sent and the last attempt has
+ * an outcome, which may come after the reply. Used on the event loop only.
  */
 final class Exchange {
     /** Receives the final reply to a request, once. */
     interface ReplyHandler {
         /**
+         * Sends the reply to the client.
+         *
          * @param line the reply line with its CRLF
          * @param data the data block without its CRLF, or null
          */
@@ -21,18 +23,18 @@
     /** Identifies the request to the decision module. */
     final long id;
     final Command command;
-    /** When the reply is due at the latest, in nanoseconds of {@link Clock}. */
+    /** Latest time for the reply, in nanoseconds of {@link Clock}. */
     final long deadline;
     /** All attempts so far, completed ones included. */
     final List<Attempt> attempts = new ArrayList<>(2);
     private final ReplyHandler replyHandler;
     /** Attempts whose outcome has not been reported to the decision module. */
     int pendingAttempts;
-    /** Whether the reply was given or the client has disconnected; no further attempts are sent. */
+    /** Whether the reply was sent or the client has disconnected; from then on no further attempts are sent. */
     boolean isClosed;
     /** Whether a completed attempt may have been executed by its cache host. */
     boolean mayHaveRun;
-    /** Ends the request shortly after its deadline if it is still open then. */
+    /** Closes the request shortly after its deadline if it is still open then. */
     Future<?> deadlineTimer;
 
     Exchange(long id, Command command, long deadline, ReplyHandler replyHandler) {
@@ -42,7 +44,7 @@
         this.replyHandler = replyHandler;
     }
 
-    /** Closes the request; returns true on the first call only, so that there is never a second reply. */
+    /** Closes the request. Returns true on the first call only, so that at most one reply is sent. */
     boolean close() {
         boolean isFirstClose = !isClosed;
         isClosed = true;
@@ -52,7 +54,7 @@
         return isFirstClose;
     }
 
-    /** Gives the final reply unless the request is closed already. */
+    /** Sends the final reply, unless the request is closed already. */
     void reply(String line, byte[] data) {
         if (close()) {
             replyHandler.reply(line, data);
--- a/src/main/java/eiderscale/net/Catalog.java
+++ b/src/main/java/eiderscale/net/HostList.java
@@ -11,27 +11,36 @@
 import java.util.Map;
 
 /**
- * A list of cache hosts as discovery sends it.
+ * The list of cache hosts, or the changes to it, as discovery sends it.
  *
  * @param revision discovery's revision of the list
- * @param isFull whether {@code members} are all hosts, or only those that changed since the revision asked for
+ * @param isFull whether {@code members} are all hosts; if not, they are those changed since the requested revision
  */
-record Catalog(long revision, boolean isFull, List<Member> members) {
+record HostList(long revision, boolean isFull, List<Member> members) {
     private static final int MAX_PORT = 0xffff;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    /** A cache host as the decision module sees it, and its address as seen from this balancer. */
+    /**
+     * A cache host.
+     *
+     * @param server its description for the decision module
+     * @param endpoint its address as seen from this balancer
+     */
     record Member(Api.Server server, InetSocketAddress endpoint) {
     }
 
-    /** @throws ConfigException if the JSON is not a valid list */
-    static Catalog parse(Map<?, ?> json, SiteSettings site) {
+    /**
+     * Reads a list from parsed JSON.
+     *
+     * @throws ConfigException if it is not a valid list
+     */
+    static HostList parse(Map<?, ?> json, SiteSettings site) {
         List<Member> members = new ArrayList<>();
         for (Object target : Json.list(json, "targets")) {
             members.add(parseMember(Json.object(target), site));
         }
-        return new Catalog(Json.get(json, "rev", Number.class).longValue(),
+        return new HostList(Json.get(json, "rev", Number.class).longValue(),
                 Json.get(json, "all", Boolean.class), members);
     }
 
@@ -42,18 +51,18 @@
             case "Gone" -> Api.State.GONE;
             default -> throw new ConfigException("unknown cache host state: " + json.get("state"));
         };
-        // The id is derived from the uid, not from the endpoint, which differs from balancer to balancer:
-        // rendezvous hashing and slow start need the same id at every balancer.
+        // The id is derived from the uid and not from the endpoint, which differs from balancer to balancer: rendezvous
+        // hashing and slow start need the same id at every balancer.
         Api.Server server = new Api.Server(hash(Json.get(json, "uid", String.class)),
-                site.zone(Json.get(json, "az", String.class, "")),
-                site.kind(Json.get(json, "model", String.class, "")),
+                site.zoneIndex(Json.get(json, "az", String.class, "")),
+                site.kindIndex(Json.get(json, "model", String.class, "")),
                 Json.get(json, "pod_group", Number.class, 0).intValue(), state,
                 Json.get(json, "capacity_hint", Number.class, 1).doubleValue(),
                 Json.get(json, "boot_ms", Number.class, 0).longValue() * Clock.MILLISECOND);
         return new Member(server, parseAddress(Json.get(json, "endpoint", String.class)));
     }
 
-    /** FNV-1a of the text's UTF-8 bytes, 64 bits: the same at every balancer. */
+    /** Returns the 64-bit FNV-1a hash of the text's UTF-8 bytes, which is the same at every balancer. */
     static long hash(String text) {
         long hash = FNV_OFFSET;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -76,7 +85,7 @@
                 return new InetSocketAddress(InetAddress.getByAddress(address), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // Reported below.
+            // Thrown below.
         }
         throw new ConfigException("not an IP address and port: " + text);
     }
--- a/src/main/java/eiderscale/net/HostPool.java
+++ b/src/main/java/eiderscale/net/HostPool.java
@@ -106,13 +106,13 @@
     }
 
     /** Applies a host list. Must be called before the decision module gets the list, as it may then name any host. */
-    void applyHostList(Api.ListMode mode, List<Catalog.Member> members) {
+    void applyHostList(Api.ListMode mode, List<HostList.Member> members) {
         if (mode == Api.ListMode.FAILED) {
             return;
         }
         long nowNs = Clock.now();
         Set<Host> unlisted = new LinkedHashSet<>(hosts.values());
-        for (Catalog.Member member : members) {
+        for (HostList.Member member : members) {
             Host host = hosts.computeIfAbsent(member.server().id(), id -> new Host());
             unlisted.remove(host);
             if (!member.endpoint().equals(host.endpoint) || member.server().startedAt() != host.startedAt) {
@@ -177,7 +177,7 @@
 
     /** Whether a repeat might take effect again: the request is not idempotent, or only some hosts drop repeats. */
     private boolean mustNotRunTwice(Attempt attempt) {
-        Api.RequestClass requestClass = site.settings.requestClasses().get(attempt.exchange.command.requestClass);
+        Api.RequestClass requestClass = site.settings.requestClasses().get(attempt.exchange.command.requestClassIndex);
         return requestClass.effect() == Api.Effect.NON_IDEMPOTENT
                 || requestClass.effect() == Api.Effect.DEDUPLICATED && requestClass.dedupScope() != Api.Group.ALL;
     }
--- a/src/main/java/eiderscale/net/Json.java
+++ b/src/main/java/eiderscale/net/Json.java
@@ -6,11 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed access to parsed JSON; a missing or mistyped value is a {@link ConfigException} with a one-line message. */
+/**
+ * Typed access to parsed JSON. A required value that is missing, or one of the wrong type, is reported by a
+ * {@link ConfigException}.
+ */
 final class Json {
     private Json() {
     }
 
+    /** Parses a JSON object from UTF-8 text; the exception's message is one line. */
     static Map<?, ?> parse(byte[] text) {
         try {
             Map<?, ?> object = JSON.std.mapFrom(new String(text, StandardCharsets.UTF_8));
@@ -24,6 +28,7 @@
         }
     }
 
+    /** Returns a required value. */
     static <T> T get(Map<?, ?> object, String name, Class<T> type) {
         Object value = object.get(name);
         if (!type.isInstance(value)) {
@@ -32,11 +37,12 @@
         return type.cast(value);
     }
 
-    /** Returns the default if the value is missing or null. */
+    /** Returns an optional value, or the default if it is missing or null. */
     static <T> T get(Map<?, ?> object, String name, Class<T> type, T defaultValue) {
         return object.get(name) == null ? defaultValue : get(object, name, type);
     }
 
+    /** Returns an element of a list, which must be an object. */
     static Map<?, ?> object(Object value) {
         if (value instanceof Map<?, ?> map) {
             return map;
@@ -44,7 +50,7 @@
         throw new ConfigException("a list has an element that is not an object");
     }
 
-    /** Returns the named list, empty if it is missing. */
+    /** Returns an optional list, which is empty if it is missing. */
     static List<?> list(Map<?, ?> object, String name) {
         return get(object, name, List.class, List.of());
     }
--- a/src/main/java/eiderscale/net/ListeningChannel.java
+++ b/src/main/java/eiderscale/net/ListeningChannel.java
@@ -5,17 +5,17 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listening socket that tracks since when accept calls have failed, and so how long connections waited. */
+/** A listening socket that records since when accept calls have failed, and so how long connections may have waited. */
 final class ListeningChannel extends NioServerSocketChannel {
     /** A client connection. */
     static final class AcceptedChannel extends RetryingSocketChannel {
         /**
-         * 1 s each, which is long: a client that sent a request must get a reply even if reads or writes fail for a
-         * while.
+         * 1 s each. This is long because a client that has sent a request must get a reply even if reads or writes fail
+         * for a while.
          */
         private static final RetryTimeouts RETRY_TIMEOUTS = new RetryTimeouts(Clock.SECOND, Clock.SECOND);
 
-        /** The longest time, in nanoseconds, that it can have waited because accept calls failed. */
+        /** The longest time that the connection can have waited because accept calls failed. */
         final long acceptDelayNs;
 
         private AcceptedChannel(ListeningChannel parent, SocketChannel socket, long acceptDelayNs) {
@@ -24,18 +24,18 @@
         }
     }
 
-    /** Accept calls that may be interrupted by signals before the queue is taken to be empty. */
+    /** Accept calls without a result, as when interrupted by signals, after which the queue is taken to be empty. */
     private static final int MAX_ACCEPT_TRIES = 8;
     private static final long NOT_FAILING = Long.MIN_VALUE;
     private final Counters counters;
-    /** When the first of the accept calls failed after which the queue has not been emptied yet. */
+    /** Time of the first failed accept call since the queue was last empty, or {@link #NOT_FAILING}. */
     private long failingSince = NOT_FAILING;
 
     ListeningChannel(Counters counters) {
         this.counters = counters;
     }
 
-    /** Whether connections may still be in the accept queue because an accept call failed. */
+    /** Whether connections may be left in the accept queue because an accept call failed. */
     boolean isFailing() {
         return failingSince != NOT_FAILING;
     }
@@ -48,7 +48,7 @@
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
         SocketChannel socket = acceptSocket();
-        // The selector has reported a connection, so a first call that returns none may have been interrupted.
+        // The selector has reported a connection, so if the first call returns none, it may have been interrupted.
         for (int i = 1; socket == null && accepted.isEmpty() && i < MAX_ACCEPT_TRIES; i++) {
             socket = acceptSocket();
         }
@@ -59,7 +59,10 @@
         return addAccepted(accepted, socket) ? 1 : 0;
     }
 
-    /** Adds a connection. One that cannot be set up is closed: an exception would close the listening socket. */
+    /**
+     * Adds a connection; returns false if it cannot be set up. It is closed then, as an exception would close the
+     * listening socket.
+     */
     private boolean addAccepted(List<Object> accepted, SocketChannel socket) throws IOException {
         try {
             accepted.add(new AcceptedChannel(this, socket, isFailing() ? Clock.now() - failingSince : 0));
--- a/src/main/java/eiderscale/net/Main.java
+++ b/src/main/java/eiderscale/net/Main.java
@@ -8,24 +8,24 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * The balancer program: reads its configuration, warms up where that pays off, and serves until SIGTERM. SIGHUP reloads
- * the configuration. Exits with 0 after SIGTERM and with 1 if it cannot start.
+ * The balancer program: reads its configuration, warms up if needed, and serves until SIGTERM. SIGHUP reloads the
+ * configuration. Exits with 0 after SIGTERM and with 1 if it cannot start.
  */
 public final class Main {
     /** How long each startup step is retried, as its calls may fail temporarily. */
     private static final long START_RETRY_TIMEOUT_NS = 3 * Clock.SECOND;
 
-    /** A warm-up whose I/O calls fail may hang; the start must be complete within 10 s. */
+    /** Longest wait for the warm-up, which may hang if its I/O calls fail; the start must be complete within 10 s. */
     private static final long MAX_WARM_UP_WAIT_MS = 5_000;
 
     private Main() {
     }
 
-    /** Takes no arguments; {@code GW_CONFIG} names the configuration. */
+    /** Runs the program. It takes no arguments; the environment variable GW_CONFIG holds the configuration's path. */
     public static void main(String[] args) {
         try {
-            String file = System.getenv("GW_CONFIG");
-            Config config = retryUntilDeadline(() -> Config.read(file));
+            String configPath = System.getenv("GW_CONFIG");
+            Config config = retryUntilDeadline(() -> Config.read(configPath));
             preloadClasses();
             if (WarmUp.isNeeded(config)) {
                 warmUp();
@@ -33,12 +33,12 @@
             EventLoop loop = retryUntilDeadline(
                     () -> new NioEventLoopGroup(1, new DefaultThreadFactory("loop")).next());
             Node node = loop.submit(() -> new Node(config, loop, Router::new)).get();
-            ConfigReloader reloader = new ConfigReloader(() -> Config.read(file),
+            ConfigReloader reloader = new ConfigReloader(() -> Config.read(configPath),
                     newConfig -> loop.execute(() -> node.reload(newConfig)));
             SighupHandler.install(reloader::reload);
             // A JVM ended by SIGTERM exits with 143; halting at the end of the shutdown hook makes that 0.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, loop), "stop"));
-            node.ready().await();
+            node.hostListReady().await();
             retryUntilDeadline(() -> loop.submit(node::startListening).get().sync());
             Counters.log(config.name() + " serves on " + config.listenAddress() + " with " + config.describeLimits());
         } catch (ConfigException e) {
@@ -54,7 +54,7 @@
         return new RetryUntilDeadline(START_RETRY_TIMEOUT_NS).execute(step);
     }
 
-    /** A failure is only logged: the program still serves as long as class files can be read. */
+    /** Preloads classes. A failure is only logged: the program can still serve as long as class files can be read. */
     private static void preloadClasses() {
         try {
             retryUntilDeadline(() -> {
@@ -66,14 +66,14 @@
         }
     }
 
-    /** A failure is only logged: without warm-up the program serves too, only slowly at first. */
+    /** Runs the warm-up. A failure is only logged: without warm-up the program serves more slowly at first. */
     private static void warmUp() throws InterruptedException {
         Thread thread = new Thread(() -> {
             long startedAt = Clock.now();
             try {
-                int wrongAnswers = WarmUp.execute();
-                long tookMs = (Clock.now() - startedAt) / Clock.MILLISECOND;
-                Counters.log("warm-up took " + tookMs + " ms, wrong answers: " + wrongAnswers);
+                int wrongReplies = WarmUp.execute();
+                long durationMs = (Clock.now() - startedAt) / Clock.MILLISECOND;
+                Counters.log("warm-up took " + durationMs + " ms, wrong answers: " + wrongReplies);
             } catch (Exception e) {
                 Counters.log("warm-up failed", e);
             }
@@ -86,12 +86,13 @@
         }
     }
 
+    /** Stops the balancer gracefully and ends the process. */
     private static void stop(Node node, EventLoop loop) {
         CountDownLatch stopped = new CountDownLatch(1);
         try {
             loop.execute(() -> node.stop().addListener(done -> stopped.countDown()));
         } catch (Throwable e) {
-            // The task has been queued nevertheless; exiting now would lose the open requests.
+            // The task was queued nevertheless; exiting now would lose the open requests.
             Counters.log("cannot wake up the event loop for the stop: " + e);
         }
         try {
--- a/src/main/java/eiderscale/net/MetaDecoder.java
+++ b/src/main/java/eiderscale/net/MetaDecoder.java
@@ -9,17 +9,20 @@
 import java.util.List;
 
 /**
- * Decodes a byte stream into {@link MetaFrame}s. The syntax is checked strictly and memory is bounded: an overlong
- * line or value is discarded while it arrives, never buffered as a whole, and decoding continues after it.
+ * Decodes a byte stream into {@link MetaFrame}s. The syntax is checked strictly, and memory is bounded: an overlong
+ * line or value is discarded as it arrives, without being buffered as a whole, and decoding continues after it.
  *
  * <p>Decoding can be paused while reading continues, so that the end of the stream is still detected.
  */
 final class MetaDecoder extends ByteToMessageDecoder {
-    /** Far above the longest valid line, which holds a key of 250 bytes, an opaque and a list of parameters. */
+    /**
+     * Maximum length of a line without its line feed. This is far above the longest valid line, which holds a key of
+     * 250 bytes, an opaque and a list of parameters.
+     */
     static final int MAX_LINE_BYTES = 2048;
-    /** Undecoded bytes above which reading stops; the end of the stream is not detected from then on. */
+    /** Undecoded bytes above which reading stops; the end of the stream is then not detected. */
     private static final int MAX_BUFFERED_BYTES = 512 * 1024;
-    /** Keeps the length of a data block within an int. */
+    /** Maximum number of digits of a data block's length, so that it fits an int. */
     private static final int MAX_LENGTH_DIGITS = 9;
     private static final int CRLF_BYTES = 2;
     private static final String BAD_DATA_CHUNK = "CLIENT_ERROR bad data chunk";
@@ -28,7 +31,7 @@
     private final String dataKeyword;
     /** Index of the token of such a line that holds the length of the data block. */
     private final int lengthIndex;
-    /** The line of the data block being read. */
+    /** The line that announced the data block being read. */
     private List<String> dataLineTokens;
     /** The data block being read, null if there is none. */
     private byte[] data;
@@ -44,26 +47,28 @@
         this.lengthIndex = lengthIndex;
     }
 
-    /** A decoder of client commands, of which {@code ms} has a data block. */
+    /** Returns a decoder of client commands, of which {@code ms} has a data block. */
     static MetaDecoder forCommands() {
         return new MetaDecoder("ms", 2);
     }
 
-    /** A decoder of cache host responses, of which {@code VA} has a data block. */
+    /** Returns a decoder of cache host responses, of which {@code VA} has a data block. */
     static MetaDecoder forResponses() {
         return new MetaDecoder("VA", 1);
     }
 
     private enum Mode {
+        /** Input is decoded as it arrives. */
         DECODING,
         /** Input is buffered undecoded. */
         PAUSED,
         /** Buffered input is decoded as usual, but its frames are to be rejected by the receiver. */
         REJECTING,
+        /** All input is discarded, permanently. */
         DISCARDING
     }
 
-    /** Buffers further input undecoded; reading continues, so that the end of the stream is still detected. */
+    /** Pauses decoding: further input is buffered undecoded. Reading continues up to {@link #MAX_BUFFERED_BYTES}. */
     void pause() {
         mode = mode == Mode.DECODING ? Mode.PAUSED : mode;
     }
@@ -88,7 +93,7 @@
         }
     }
 
-    /** Whether the frames that are being handed out are to be rejected. */
+    /** Whether the frames that are being emitted are to be rejected. */
     boolean isRejecting() {
         return mode == Mode.REJECTING;
     }
@@ -107,17 +112,17 @@
         return bufferedBytes() > MAX_BUFFERED_BYTES;
     }
 
-    /** Undecoded bytes buffered while paused; 0 in other modes. */
+    /** Returns the number of undecoded bytes buffered while paused; 0 in other modes. */
     int bufferedBytes() {
         return mode == Mode.PAUSED ? actualReadableBytes() : 0;
     }
 
-    /** Whether the next byte of input continues a frame, valid or not, that has begun to arrive. */
+    /** Whether a frame, valid or not, has begun to arrive and is not complete. */
     boolean isInsideFrame() {
         return data != null || bytesToDiscard > 0 || isDiscardingLine || actualReadableBytes() > 0;
     }
 
-    /** Whether a frame has begun to arrive for which nothing was handed out yet, not even an error. */
+    /** Whether a frame has begun to arrive and nothing has been emitted for it yet, not even a protocol error. */
     boolean hasIncompleteFrame() {
         return mode == Mode.DECODING
                 && (data != null || bytesToDiscard == 0 && !isDiscardingLine && actualReadableBytes() > 0);
--- a/src/main/java/eiderscale/net/MetaFrame.java
+++ b/src/main/java/eiderscale/net/MetaFrame.java
@@ -13,19 +13,19 @@
     /** Maximum size of a data block. */
     static final int MAX_VALUE_BYTES = 64 * 1024;
 
-    /** A frame that stands for invalid input. */
+    /** Returns a frame that stands for invalid input. */
     static MetaFrame protocolError(String errorReply) {
         return new MetaFrame(List.of(), null, errorReply);
     }
 
-    /** Whether there is a token at that index and it is equal to {@code token}. */
+    /** Whether the token at that index exists and equals {@code token}. */
     boolean tokenIs(int index, String token) {
         return index < tokens.size() && tokens.get(index).equals(token);
     }
 
-    /** The value of the flag with that letter among the tokens from {@code firstFlag} on; null if absent. */
-    String flagValue(int firstFlag, char letter) {
-        for (int i = firstFlag; i < tokens.size(); i++) {
+    /** Returns the value of the first flag with that letter, from {@code firstFlagIndex} on; null if there is none. */
+    String flagValue(int firstFlagIndex, char letter) {
+        for (int i = firstFlagIndex; i < tokens.size(); i++) {
             if (tokens.get(i).charAt(0) == letter) {
                 return tokens.get(i).substring(1);
             }
--- a/src/main/java/eiderscale/net/Node.java
+++ b/src/main/java/eiderscale/net/Node.java
@@ -10,44 +10,47 @@
 
 /** One balancer instance: creates its parts, runs periodic work and stops them. Everything runs on one event loop. */
 final class Node {
-    /** How long new connections are still accepted and served after a stop is requested, as clients keep connecting. */
+    /** How long new connections are accepted and served after a stop was requested, as clients still connect. */
     private static final long ACCEPT_GRACE_PERIOD_MS = 600;
-    /** Longest time that a stop waits for open requests to reach their deadlines: the process is killed soon after. */
+    /** Longest wait of a stop for open requests to reach their deadlines: the process is killed soon after. */
     private static final long MAX_DRAIN_NS = 3 * Clock.SECOND;
-    /** Time for the last answers to be sent after the drain deadline. */
+    /** Time for the last replies to be sent after the drain deadline. */
     private static final long FINAL_FLUSH_TIMEOUT_NS = 70 * Clock.MILLISECOND;
     private static final long STOP_CHECK_INTERVAL_MS = 10;
     private static final long SWEEP_INTERVAL_MS = 1_000;
-    private static final int SWEEPS_PER_LOG_LINE = 10;
-    /** File descriptors reserved for the JVM, discovery and the listening socket; at most a quarter of all. */
+    private static final int SWEEPS_PER_METRICS_LINE = 10;
+    /** File descriptors reserved for the JVM, discovery and the listening socket; never more than a quarter of all. */
     private static final int RESERVED_DESCRIPTORS = 96;
-    /** Fraction of the remaining sockets that is for clients; the rest is for connections to cache hosts. */
+    /** Fraction of the other descriptors that is for client connections; the rest is for cache host connections. */
     private static final double CLIENT_SOCKET_FRACTION = 0.45;
-    /** Client connections beyond that fraction, which are accepted only to be refused. */
-    private static final int MAX_SURPLUS_CLIENTS = 16;
+    /** Client connections accepted above that limit, only to reject their requests. */
+    private static final int MAX_OVER_LIMIT_CLIENTS = 16;
 
     private final Config config;
     private final EventLoop loop;
     private final Counters counters = new Counters();
     private final Balancer balancer;
-    private final ClientServer server;
+    private final ClientServer clientServer;
     private Future<?> sweepTask;
     private int sweepCount;
 
-    /** Must be called on the event loop, like all methods of this class. */
-    Node(Config config, EventLoop loop, Balancer.ModuleFactory module) {
+    /** Creates an instance. Must be called on the event loop, like all methods of this class. */
+    Node(Config config, EventLoop loop, Balancer.ModuleFactory moduleFactory) {
         this.config = config;
         this.loop = loop;
         int availableSockets = config.maxSockets() - Math.min(RESERVED_DESCRIPTORS, config.maxSockets() / 4);
         int maxClients = Math.max(1, (int) (availableSockets * CLIENT_SOCKET_FRACTION));
-        balancer = new Balancer(config, loop, counters, module,
-                Math.max(1, availableSockets - maxClients - MAX_SURPLUS_CLIENTS));
-        server = new ClientServer(balancer, loop, counters, maxClients, MAX_SURPLUS_CLIENTS);
+        balancer = new Balancer(config, loop, counters, moduleFactory,
+                Math.max(1, availableSockets - maxClients - MAX_OVER_LIMIT_CLIENTS));
+        clientServer = new ClientServer(balancer, loop, counters, maxClients, MAX_OVER_LIMIT_CLIENTS);
     }
 
-    /** Completes once requests may be served with the current list of hosts; the program should not listen earlier. */
-    Future<Void> ready() {
-        return balancer.ready();
+    /**
+     * Returns a future that completes once requests may be served with the current host list. The program should not
+     * listen earlier.
+     */
+    Future<Void> hostListReady() {
+        return balancer.hostListReady();
     }
 
     /** Starts listening for clients. May be called again if it failed. */
@@ -56,54 +59,55 @@
             sweepTask = loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
-        return server.listen(config.listenAddress());
+        return clientServer.listen(config.listenAddress());
     }
 
-    /** Periodic work: closes idle connections, and logs the counters regularly and after trouble. */
+    /** Periodic work: evicts expired connections, and logs the metrics regularly and soon after a problem. */
     private void sweep() {
         try {
             balancer.evictExpiredConnections();
-            if (counters.hasNewProblems() | ++sweepCount % SWEEPS_PER_LOG_LINE == 0) {
-                logCounters();
+            if (counters.hasNewProblems() | ++sweepCount % SWEEPS_PER_METRICS_LINE == 0) {
+                logMetrics();
             }
         } catch (RuntimeException e) {
-            // An exception that left this method would cancel all further sweeps.
-            Counters.log("unexpected exception", e);
+            // Caught, as an exception thrown from a periodic task would cancel its further runs.
+            Counters.log("unexpected exception in the periodic work", e);
         }
     }
 
-    private void logCounters() {
+    private void logMetrics() {
         counters.printMetrics(gauges());
     }
 
+    /** Returns the current values for the metrics line. */
     String gauges() {
-        return server.gauges() + " " + balancer.gauges();
+        return clientServer.gauges() + " " + balancer.gauges();
     }
 
-    /** Applies a list of hosts that does not come from discovery. */
-    void onList(Api.ListMode mode, List<Catalog.Member> members) {
-        balancer.onList(mode, members);
+    /** Applies a host list that does not come from discovery. */
+    void onHostList(Api.ListMode mode, List<HostList.Member> members) {
+        balancer.onHostList(mode, members);
     }
 
-    /** Applies a new configuration. Only discovery's address takes effect; the rest cannot change at run time. */
+    /** Applies a new configuration. Only discovery's address takes effect; nothing else can change at run time. */
     void reload(Config newConfig) {
         balancer.setDiscoveryAddress(newConfig.discoveryAddress());
     }
 
     /**
-     * Graceful shutdown: stops accepting connections after {@link #ACCEPT_GRACE_PERIOD_MS}, then waits for the open
-     * requests. The future completes when every request has been answered and every client has disconnected, or
+     * Shuts down gracefully: stops accepting connections after {@link #ACCEPT_GRACE_PERIOD_MS}, then waits for the open
+     * requests. The future completes when every request has its reply and every client has disconnected, or
      * {@link #FINAL_FLUSH_TIMEOUT_NS} after the drain deadline.
      */
     Future<Void> stop() {
         Promise<Void> done = loop.newPromise();
-        long longestDeadlineNs = config.site().settings.requestClasses().stream()
+        long longestTimeoutNs = config.site().settings.requestClasses().stream()
                 .mapToLong(Api.RequestClass::timeoutNs).max().orElse(0);
         long drainDeadline = Clock.now() + ACCEPT_GRACE_PERIOD_MS * Clock.MILLISECOND
-                + Math.min(longestDeadlineNs, MAX_DRAIN_NS);
+                + Math.min(longestTimeoutNs, MAX_DRAIN_NS);
         loop.schedule(() -> {
             try {
-                server.close();
+                clientServer.close();
             } finally {
                 awaitDrained(done, drainDeadline);
             }
@@ -111,26 +115,27 @@
         return done;
     }
 
-    /** Checks whether the stop is complete, else checks again later; past the deadline, answers open requests first. */
+    /** Checks periodically whether the stop is complete; from the drain deadline on, replies to open requests first. */
     private void awaitDrained(Promise<Void> done, long drainDeadline) {
         long now = Clock.now();
         if (now >= drainDeadline) {
-            answerOpenRequests();
+            replyToOpenRequests();
         }
-        // After the flush timeout only clients that do not read their answers can be left.
-        if (server.isTerminated() && balancer.openRequests() == 0 || now >= drainDeadline + FINAL_FLUSH_TIMEOUT_NS) {
-            logCounters();
+        // After the flush timeout only clients that do not read their replies can be left.
+        if (clientServer.isTerminated() && balancer.openRequests() == 0
+                || now >= drainDeadline + FINAL_FLUSH_TIMEOUT_NS) {
+            logMetrics();
             done.setSuccess(null);
         } else {
             loop.schedule(() -> awaitDrained(done, drainDeadline), STOP_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void answerOpenRequests() {
+    private void replyToOpenRequests() {
         try {
             balancer.replyToAllWithoutModule();
         } catch (RuntimeException e) {
-            Counters.log("unexpected exception", e);
+            Counters.log("unexpected exception while replying to open requests", e);
         }
     }
 }
--- a/src/main/java/eiderscale/net/RetryUntilDeadline.java
+++ b/src/main/java/eiderscale/net/RetryUntilDeadline.java
@@ -9,12 +9,16 @@
 
     private final long deadline;
 
-    /** {@code timeoutNs}: nanoseconds from now to the deadline. */
+    /**
+     * Sets the deadline that all calls share.
+     *
+     * @param timeoutNs time from now to the deadline
+     */
     RetryUntilDeadline(long timeoutNs) {
         this.deadline = Clock.now() + timeoutNs;
     }
 
-    /** Returns the first result. A failure at or after the deadline is thrown; every call is made at least once. */
+    /** Returns the first result. An exception at or after the deadline is rethrown; a call is made at least once. */
     <T> T execute(Callable<T> call) throws Exception {
         while (true) {
             try {
--- a/src/main/java/eiderscale/net/RetryingSocketChannel.java
+++ b/src/main/java/eiderscale/net/RetryingSocketChannel.java
@@ -15,19 +15,24 @@
 /**
  * A TCP connection that survives transient failures of system calls: interruption by a signal (EINTR), lack of memory
  * (ENOMEM, ENOBUFS), and errors that only this end sees (ETIMEDOUT, EHOSTUNREACH). A broken connection reports its
- * error once and the end of the stream on the next read, so a second read tells it from a transient failure.
+ * error once and the end of the stream on the next read, so a second read distinguishes it from a transient failure.
  */
 class RetryingSocketChannel extends NioSocketChannel {
     /** What a read returns at the end of the stream; the JDK returns a lower value for an interrupted call. */
     private static final int END_OF_STREAM = -1;
     /** Immediate retries of an interrupted read; after these it is retried with a delay. */
     private static final int MAX_INTERRUPTED_READ_RETRIES = 8;
-    /** Calls that may be interrupted by signals before a connect is given up. */
+    /** Calls without a result, as when interrupted by signals, after which a connect fails. */
     private static final int MAX_FINISH_CONNECT_TRIES = 64;
     private static final int RETRY_DELAY_MS = 5;
     private static final long NOT_FAILING = Long.MIN_VALUE;
 
-    /** How long, in nanoseconds, all reads or all writes of a connection may fail before it is closed. */
+    /**
+     * How long calls on a connection may fail without a success in between before it is closed.
+     *
+     * @param readNs time for reads
+     * @param writeNs time for writes
+     */
     record RetryTimeouts(long readNs, long writeNs) {
     }
 
@@ -35,13 +40,17 @@
     private final Counters counters;
     private long readsFailingSince = NOT_FAILING;
     private long writesFailingSince = NOT_FAILING;
-    /** See {@link #getAndResetReadDelayNs}. */
+    /** The value of {@link #getAndResetReadDelayNs}. */
     private long readDelayNs;
     /** Whether reading is suspended until {@link #resumeReads} runs. */
     private boolean isReadPaused;
     private boolean isWriteRetryScheduled;
 
-    /** Opens a socket; throws a {@link io.netty.channel.ChannelException} if none is available. */
+    /**
+     * Opens a socket.
+     *
+     * @throws io.netty.channel.ChannelException if none is available
+     */
     RetryingSocketChannel(RetryTimeouts retryTimeouts, Counters counters) {
         this.retryTimeouts = retryTimeouts;
         this.counters = counters;
@@ -66,7 +75,7 @@
         }
     }
 
-    /** The longest time that input read since the last call of this can have waited because reads failed. */
+    /** Returns the longest time that input read since the last call of this can have waited because reads failed. */
     long getAndResetReadDelayNs() {
         long delayNs = readDelayNs;
         readDelayNs = 0;
@@ -74,31 +83,32 @@
     }
 
     private int readRetryingInterrupts(ByteBuf buffer) throws Exception {
-        int read = super.doReadBytes(buffer);
-        // Retried at once, as the end of the stream may be unread: no request is started for a client that left.
-        for (int i = 0; read < END_OF_STREAM && i < MAX_INTERRUPTED_READ_RETRIES; i++) {
-            read = super.doReadBytes(buffer);
+        int bytesRead = super.doReadBytes(buffer);
+        // Retried at once, as the end of the stream may be unread: no request is started for a client that has
+        // disconnected.
+        for (int i = 0; bytesRead < END_OF_STREAM && i < MAX_INTERRUPTED_READ_RETRIES; i++) {
+            bytesRead = super.doReadBytes(buffer);
         }
-        if (read < END_OF_STREAM) {
+        if (bytesRead < END_OF_STREAM) {
             scheduleReadRetry();
             return 0;
         }
-        if (read > 0 && readsFailingSince != NOT_FAILING) {
+        if (bytesRead > 0 && readsFailingSince != NOT_FAILING) {
             readDelayNs += Clock.now() - readsFailingSince;
         }
         readsFailingSince = NOT_FAILING;
-        return read;
+        return bytesRead;
     }
 
     /**
-     * Reads again at once, which tells a broken connection from a transient failure; schedules a further retry if that
-     * fails too.
+     * Reads again at once, which distinguishes a broken connection from a transient failure; schedules a further retry
+     * if that fails too.
      */
     private int retryFailedRead(ByteBuf buffer, IOException failure) throws Exception {
         counters.recordIoFailure("read", failure);
-        int read;
+        int bytesRead;
         try {
-            read = readRetryingInterrupts(buffer);
+            bytesRead = readRetryingInterrupts(buffer);
         } catch (IOException e) {
             scheduleReadRetry();
             if (Clock.now() - readsFailingSince >= retryTimeouts.readNs) {
@@ -106,10 +116,10 @@
             }
             return 0;
         }
-        if (read == END_OF_STREAM) {
+        if (bytesRead == END_OF_STREAM) {
             throw failure;
         }
-        return read;
+        return bytesRead;
     }
 
     private void scheduleReadRetry() {
@@ -123,7 +133,7 @@
         eventLoop().schedule(this::resumeReads, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Called by Netty at the end of each read, also of failed ones, to register for the next. */
+    /** Called by Netty at the end of each read, even a failed one, to register for the next. */
     @Override
     protected void doBeginRead() throws Exception {
         if (!isReadPaused) {
@@ -135,7 +145,8 @@
         isReadPaused = false;
         if (isOpen() && config().isAutoRead()) {
             unsafe().beginRead();
-            // Without input the selector reports nothing, and the failure would never end.
+            // Called without a selector event: there is none if no input has arrived, and the channel would remain in
+            // its failing state.
             unsafe().read();
         } else {
             readsFailingSince = NOT_FAILING;
@@ -161,7 +172,7 @@
 
     /** Retries the write after a delay; meanwhile, reads detect whether the connection is broken. */
     private void scheduleWriteRetry() {
-        // Keeps the selector from reporting the socket as writable over and over while the call fails.
+        // Prevents the selector from reporting the socket as writable repeatedly while the call fails.
         clearOpWrite();
         if (!isWriteRetryScheduled) {
             isWriteRetryScheduled = true;
@@ -176,7 +187,7 @@
         }
     }
 
-    /** Called when the selector reports the connection ready, so only an interrupted call finds it unfinished. */
+    /** Called when the selector reports the connection ready, so only an interrupted call returns false. */
     @Override
     protected void doFinishConnect() throws Exception {
         for (int i = 0; i < MAX_FINISH_CONNECT_TRIES; i++) {
--- a/src/main/java/eiderscale/net/SighupHandler.java
+++ b/src/main/java/eiderscale/net/SighupHandler.java
@@ -5,12 +5,12 @@
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.MethodType;
 
-/** Handles SIGHUP. Uses {@code sun.misc.Signal} by reflection, as the compiler warns of direct uses of that class. */
+/** Handles SIGHUP. Uses {@code sun.misc.Signal} by reflection, as the compiler warns about direct use of that class. */
 final class SighupHandler {
     private SighupHandler() {
     }
 
-    /** From now on each SIGHUP runs {@code onSighup}, on a thread of the JVM, instead of ending the process. */
+    /** Makes each SIGHUP run {@code onSighup}, on a thread of the JVM, instead of ending the process. */
     static void install(Runnable onSighup) throws ReflectiveOperationException {
         Class<?> signalClass = Class.forName("sun.misc.Signal");
         Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
--- a/src/main/java/eiderscale/net/SiteSettings.java
+++ b/src/main/java/eiderscale/net/SiteSettings.java
@@ -14,15 +14,18 @@
  * needs.
  */
 final class SiteSettings {
-    /** Load report fields whose names differ: from the name on the wire to the name in the settings. */
+    /** Maps names of load report fields on the wire to the names in the settings, where these differ. */
     private static final Map<String, String> REPORT_FIELD_ALIASES = Map.of("inflight", "rif", "queue", "q",
             "util", "busy", "latency_ms", "lat_ms", "qps", "rate", "eps", "fail_rate");
     private static final float[] NO_REPORT = {};
 
+    /** The settings of the decision module. */
     final Api.Settings settings;
+    /** Longest time for a connection to a cache host to be opened. */
     final long connectTimeoutNs;
+    /** How long a connection may be idle before a cache host closes it. */
     final long idleTimeoutNs;
-    /** Open requests that this balancer accepts; further ones are refused. */
+    /** Maximum number of open requests; further ones are refused. */
     final int maxOpenRequests;
     private final Map<String, Integer> requestClassIndexes;
     private final Map<String, Integer> tenantIndexes;
@@ -30,6 +33,11 @@
     private final Map<String, Integer> kindIndexes;
     private final Map<String, Integer> reportFieldIndexes;
 
+    /**
+     * Reads the settings from parsed JSON.
+     *
+     * @throws ConfigException if they are invalid
+     */
     SiteSettings(Map<?, ?> json) {
         Map<String, String> settingLines = new TreeMap<>();
         flatten("", json, settingLines);
@@ -57,7 +65,7 @@
                 indexByName(Json.list(Json.get(json, "load-report", Map.class, Map.of()), "fields"), false);
     }
 
-    /** Flattens JSON to the simulator's settings lines, so that this program and the simulator share a parser. */
+    /** Flattens JSON to settings lines as the simulator has them, so that both programs share a parser. */
     private static void flatten(String path, Object value, Map<String, String> settingLines) {
         if (value instanceof Map<?, ?> map) {
             String prefix = path.isEmpty() ? "" : path + ".";
@@ -74,6 +82,7 @@
         }
     }
 
+    /** Formats a value for a settings line. Whitespace and commas, which may separate values, become underscores. */
     private static String formatScalar(Object value) {
         return String.valueOf(value).replaceAll("[\\s,]", "_");
     }
@@ -100,27 +109,27 @@
         return indexes;
     }
 
-    /** The index of a request class, or null if the settings do not define it. */
-    Integer requestClass(String name) {
+    /** Returns the index of a request class, or null if the settings do not define it. */
+    Integer requestClassIndex(String name) {
         return requestClassIndexes.get(name);
     }
 
-    /** The index of a tenant, or null if the settings do not define it; if they define none, 0 for every name. */
-    Integer tenant(String name) {
+    /** Returns the index of a tenant, or null if the settings do not define it; if they define none, always 0. */
+    Integer tenantIndex(String name) {
         return tenantIndexes.isEmpty() ? Integer.valueOf(0) : tenantIndexes.get(name);
     }
 
-    /** The index of a zone. An unknown zone gets a new index, which is no balancer's own zone. */
-    int zone(String name) {
+    /** Returns the index of a zone. An unknown zone gets a new index, which is not the own zone of any balancer. */
+    int zoneIndex(String name) {
         return zoneIndexes.computeIfAbsent(name, unknown -> zoneIndexes.size());
     }
 
-    /** The index of a host kind (discovery's "model"). An unknown kind gets a new index. */
-    int kind(String name) {
+    /** Returns the index of a host kind (discovery's "model"). An unknown kind gets a new index. */
+    int kindIndex(String name) {
         return kindIndexes.computeIfAbsent(name, unknown -> kindIndexes.size());
     }
 
-    /** The values of a load report in the order of the settings; empty unless the report has all of them. */
+    /** Returns the values of a load report in the order of the settings; none unless the report has all of them. */
     float[] parseReport(String text) {
         if (text == null || reportFieldIndexes.isEmpty()) {
             return NO_REPORT;
--- a/src/main/java/eiderscale/net/WarmUp.java
+++ b/src/main/java/eiderscale/net/WarmUp.java
@@ -20,20 +20,21 @@
  * Warm-up: runs a balancer on loopback against cache hosts, clients and a discovery of its own.
  *
  * <p>The build runs it to archive the classes that it loads ({@code -XX:ArchiveClassesAtExit}). The program runs it
- * before it listens, so that the JIT has compiled the code that it repeats often. Otherwise the first clients,
- * which all connect at once, would wait for the JIT on a small share of a core, and the event loop would run late. If
- * few requests are expected, the program skips it, as clients then gain more from a start that is a second faster.
+ * before it listens, so that the JIT compiler has compiled the most frequently executed code. Otherwise the first
+ * clients, which all connect at once, would wait for the JIT compiler on a small share of a core, and the event loop
+ * would run late. If few requests are expected, the program skips it, as clients then gain more from a start that is a
+ * second faster.
  */
 public final class WarmUp {
-    /** Rounds of clients that connect, send requests and disconnect; enough for most code to be compiled. */
+    /** Maximum rounds of clients that connect, send requests and disconnect: enough for most code to be compiled. */
     private static final int MAX_ROUNDS = 4;
     private static final int CLIENTS_PER_ROUND = 12;
     private static final int MIN_ROUNDS = 1;
-    /** No round after the first starts later than this, so that a restarted balancer serves again soon. */
-    private static final long MAX_ROUNDS_TIME_NS = 700 * Clock.MILLISECOND;
-    /** CPU time of a request while little code is compiled, in core seconds, seen in the first second after a start. */
+    /** Time within which rounds beyond {@link #MIN_ROUNDS} may start: a restarted balancer must soon serve again. */
+    private static final long MAX_ROUND_START_DELAY_NS = 700 * Clock.MILLISECOND;
+    /** CPU time of a request in the first second after a start, in core seconds, while little code is compiled. */
     private static final double COLD_REQUEST_CORE_SECONDS = 0.002;
-    /** Of the second reads in a round one in this many is slow, to exercise hedged requests and their cancellation. */
+    /** One in this many of a round's second reads is slow, to exercise hedged requests and their cancellation. */
     private static final int READS_PER_SLOW_READ = 3;
     private static final int SLOW_READ_DELAY_MS = 15;
     private static final int IO_TIMEOUT_MS = 20_000;
@@ -52,20 +53,21 @@
                "ceilings":{"max-attempts":4,"may-duplicate":true,"cancelling":true,"retry-after":true}}}
             """;
 
-    /** Returns a server's answer to a line that it received, or null for none. */
+    /** Produces the responses of a server. */
     private interface Responder {
+        /** Returns the response to a line that was received, or null for none. */
         String respond(String line);
     }
 
     private WarmUp() {
     }
 
-    /** Runs the warm-up alone, for the build. Takes no arguments; exits with 1 if an answer was wrong. */
+    /** Runs only the warm-up, for the build. Takes no arguments; exits with 1 if a reply was wrong. */
     public static void main(String[] args) throws Exception {
         ClassPreloader.load();
-        int wrongAnswers = execute();
-        Counters.log("warm-up done, wrong answers: " + wrongAnswers);
-        System.exit(wrongAnswers == 0 ? 0 : 1);
+        int wrongReplies = execute();
+        Counters.log("warm-up done, wrong answers: " + wrongReplies);
+        System.exit(wrongReplies == 0 ? 0 : 1);
     }
 
     /**
@@ -77,7 +79,7 @@
                 || config.allowedRequestsPerSecond() * COLD_REQUEST_CORE_SECONDS > config.cores();
     }
 
-    /** Runs the warm-up and returns how many commands were not answered as expected. */
+    /** Runs the warm-up and returns how many commands did not get the expected reply. */
     static int execute() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
@@ -89,18 +91,18 @@
             Node node = loop.submit(() -> new Node(config, loop, Router::new)).get();
             InetSocketAddress balancerAddress = (InetSocketAddress) loop.submit(node::startListening).get().sync()
                     .channel().localAddress();
-            long roundStartDeadline = Clock.now() + MAX_ROUNDS_TIME_NS;
-            int wrongAnswers = runSingleCommands(balancerAddress);
+            long roundStartDeadline = Clock.now() + MAX_ROUND_START_DELAY_NS;
+            int wrongReplies = runSingleCommands(balancerAddress);
             for (int i = 0; i < MAX_ROUNDS && (i < MIN_ROUNDS || Clock.now() < roundStartDeadline); i++) {
-                wrongAnswers += runRound(balancerAddress);
+                wrongReplies += runRound(balancerAddress);
             }
-            return wrongAnswers;
+            return wrongReplies;
         } finally {
             group.shutdownGracefully(0, IO_TIMEOUT_MS, TimeUnit.MILLISECONDS).sync();
         }
     }
 
-    /** Sends single commands, among them an invalid one and a read that the cache host never answers. */
+    /** Sends single commands, among them an invalid one and a read that the cache host does not respond to. */
     private static int runSingleCommands(InetSocketAddress balancerAddress) throws IOException {
         try (Client client = new Client(balancerAddress)) {
             return client.sendAndExpect("mn", "MN") + client.sendAndExpect("nonsense", "ERROR")
@@ -109,32 +111,32 @@
         }
     }
 
-    /** Connects several clients, which concurrently send a read, a write and another read each. */
+    /** Connects several clients, each of which sends a read, a write and another read, concurrently with the others. */
     private static int runRound(InetSocketAddress balancerAddress) throws IOException {
         List<Client> clients = new ArrayList<>();
-        int wrongAnswers = 0;
+        int wrongReplies = 0;
         try {
             for (int i = 0; i < CLIENTS_PER_ROUND; i++) {
                 clients.add(new Client(balancerAddress));
                 clients.get(i).send("mg " + i + " v O7 Pc=read,t=t,d=20000,h=5000");
             }
             for (Client client : clients) {
-                wrongAnswers += client.expect("VA 1 O7");
+                wrongReplies += client.expect("VA 1 O7");
                 client.send("ms 5 1 O5 Pc=copy,t=t,d=20000\r\nx");
             }
             for (int i = 0; i < CLIENTS_PER_ROUND; i++) {
-                wrongAnswers += clients.get(i).expect("HD O5 c1");
+                wrongReplies += clients.get(i).expect("HD O5 c1");
                 clients.get(i).send("mg " + (i % READS_PER_SLOW_READ == 0 ? "slow" : i) + " v O7 Pc=read,t=t,d=20000");
             }
             for (Client client : clients) {
-                wrongAnswers += client.expect("VA 1 O7");
+                wrongReplies += client.expect("VA 1 O7");
             }
         } finally {
             for (Client client : clients) {
                 client.close();
             }
         }
-        return wrongAnswers;
+        return wrongReplies;
     }
 
     /** A client connection. */
@@ -145,25 +147,25 @@
         Client(InetSocketAddress address) throws IOException {
             socket = new Socket(address.getAddress(), address.getPort());
             socket.setSoTimeout(IO_TIMEOUT_MS);
-            in = reader(socket);
+            in = newReader(socket);
         }
 
         void send(String command) throws IOException {
             socket.getOutputStream().write((command + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Returns 0 if the next answer is this one, else 1. */
-        int expect(String answer) throws IOException {
+        /** Returns 0 if the next reply is the expected one, else 1. */
+        int expect(String expectedReply) throws IOException {
             String line = in.readLine();
             if (line != null && line.startsWith("VA")) {
                 in.readLine();
             }
-            return answer.equals(line) ? 0 : 1;
+            return expectedReply.equals(line) ? 0 : 1;
         }
 
-        int sendAndExpect(String command, String answer) throws IOException {
+        int sendAndExpect(String command, String expectedReply) throws IOException {
             send(command);
-            return expect(answer);
+            return expect(expectedReply);
         }
 
         @Override
@@ -187,7 +189,7 @@
         return line.isEmpty() ? "HTTP/1.1 200 OK\r\nContent-Length: " + json.length() + "\r\n\r\n" + json : null;
     }
 
-    private static BufferedReader reader(Socket socket) throws IOException {
+    private static BufferedReader newReader(Socket socket) throws IOException {
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
     }
 
@@ -199,7 +201,7 @@
                     Socket socket = server.accept();
                     startThread(() -> serveConnection(socket, responder));
                 } catch (IOException e) {
-                    // The server was closed, or a call failed temporarily.
+                    // The server socket was closed, or the call failed temporarily.
                 }
             }
         });
@@ -208,16 +210,17 @@
 
     private static void serveConnection(Socket socket, Responder responder) throws IOException {
         try (socket) {
-            BufferedReader in = reader(socket);
+            BufferedReader in = newReader(socket);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                String answer = responder.respond(line);
-                if (answer != null) {
-                    socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                String response = responder.respond(line);
+                if (response != null) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         }
     }
 
+    /** The work of a thread, which ends if a call fails. */
     private interface IoTask {
         void run() throws IOException;
     }
--- a/src/test/java/eiderscale/net/BadInputTest.java
+++ b/src/test/java/eiderscale/net/BadInputTest.java
@@ -119,7 +119,7 @@
         }
         Config config = Config.parse(Json.parse(good.getBytes(StandardCharsets.UTF_8)));
         assertEquals(3, config.site().settings.requestClasses().size());
-        assertEquals(7, config.initialCatalog().revision());
+        assertEquals(7, config.initialHostList().revision());
         assertEquals(1_000_000_000L, config.site().settings.stopSendingWithinNs());
         bad("");
         bad("[]");
--- a/src/test/java/eiderscale/net/ConnectingTest.java
+++ b/src/test/java/eiderscale/net/ConnectingTest.java
@@ -114,9 +114,9 @@
             try (Peer client = rig.client()) {
                 client.write(Rig.COPY + "\r\n");
                 ServingTest.awaitGauge(rig, " links 1 ");
-                Catalog drained = Catalog.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
+                HostList drained = HostList.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
                         + host.target().replace("Ready", "Terminating") + "]}").getBytes()), rig.site());
-                rig.loop.submit(() -> rig.node.onList(Api.ListMode.DELTA, drained.members())).get();
+                rig.loop.submit(() -> rig.node.onHostList(Api.ListMode.DELTA, drained.members())).get();
                 try (Peer peer = host.accept()) {
                     assertEquals("SERVER_ERROR busy", client.line());
                     assertEquals(null, peer.line(), "closed without a command");
@@ -152,9 +152,9 @@
             rig.start();
             try (Peer client = rig.client()) {
                 assertEquals("HD O2 c77", client.ask(Rig.COPY));
-                Catalog drained = Catalog.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
+                HostList drained = HostList.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
                         + Rig.target("s-0", host.endpoint(), "Terminating") + "]}").getBytes()), rig.site());
-                rig.loop.submit(() -> rig.node.onList(Api.ListMode.DELTA, drained.members())).get();
+                rig.loop.submit(() -> rig.node.onHostList(Api.ListMode.DELTA, drained.members())).get();
                 long begun = System.nanoTime();
                 Waiting.until(() -> System.nanoTime() - begun > 720 * Clock.MILLISECOND, "most of the grace");
                 assertEquals("SERVER_ERROR busy", client.ask(Rig.COPY));
--- a/src/test/java/eiderscale/net/CrossingsTest.java
+++ b/src/test/java/eiderscale/net/CrossingsTest.java
@@ -26,8 +26,8 @@
 
     private static void list(Rig rig, String... targets) throws Exception {
         String json = "{\"rev\":8,\"all\":false,\"targets\":[" + String.join(",", targets) + "]}";
-        Catalog catalog = Catalog.parse(Json.parse(json.getBytes()), rig.site());
-        rig.loop.submit(() -> rig.node.onList(Api.ListMode.DELTA, catalog.members())).get();
+        HostList catalog = HostList.parse(Json.parse(json.getBytes()), rig.site());
+        rig.loop.submit(() -> rig.node.onHostList(Api.ListMode.DELTA, catalog.members())).get();
     }
 
     // The end of a client's connection.
--- a/src/test/java/eiderscale/net/DiscoveryTest.java
+++ b/src/test/java/eiderscale/net/DiscoveryTest.java
@@ -246,17 +246,17 @@
         try (Rig rig = new Rig()) {
             site = rig.site();
         }
-        Catalog here = parse(Rig.target("s-5be2a07c", "127.0.0.1:11211", "Ready"), site);
-        Catalog there = parse(Rig.target("s-5be2a07c", "127.9.0.1:11211", "Terminating"), site);
-        Catalog other = parse(Rig.target("s-5be2a07d", "127.0.0.1:11211", "Gone"), site);
+        HostList here = parse(Rig.target("s-5be2a07c", "127.0.0.1:11211", "Ready"), site);
+        HostList there = parse(Rig.target("s-5be2a07c", "127.9.0.1:11211", "Terminating"), site);
+        HostList other = parse(Rig.target("s-5be2a07d", "127.0.0.1:11211", "Gone"), site);
         assertEquals(here.members().get(0).server().id(), there.members().get(0).server().id());
         assertTrue(here.members().get(0).server().id() != other.members().get(0).server().id());
         assertEquals(Api.State.DRAINING, there.members().get(0).server().state());
         assertEquals(Api.State.GONE, other.members().get(0).server().state());
     }
 
-    private static Catalog parse(String target, SiteSettings site) {
+    private static HostList parse(String target, SiteSettings site) {
         String text = "{\"rev\":1,\"all\":true,\"targets\":[" + target + "]}";
-        return Catalog.parse(Json.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8)), site);
+        return HostList.parse(Json.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8)), site);
     }
 }
