--- a/src/test/c/fault_injection.c
+++ b/src/test/c/fault_injection.c
@@ -1,8 +1,10 @@
 /*
- * Fails chosen system calls of the process that it is preloaded into (LD_PRELOAD).
+ * Fault injection library: preloaded into a process (LD_PRELOAD), it interposes libc functions and makes their calls
+ * fail as told by a table of rules.
  *
- * The file named by FAULT_TABLE holds one struct rule for each enum call, in that order, in the machine's byte
- * order. A test maps and writes it while the process runs.
+ * The environment variable FAULT_TABLE names the table, a file with one struct rule for each value of enum call, in
+ * that order and in native byte order. The test maps the file too and changes the rules while the process runs. Without
+ * a table no call fails. GW_CONFIG names the configuration file, whose calls have rules of their own.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,25 +25,36 @@
 #include <time.h>
 #include <unistd.h>
 
-enum call { SOCKET, CONNECT, ACCEPT, READ, WRITE, SHUTDOWN, SETSOCKOPT, WAIT, OPEN, FILE_READ, WALL_CLOCK, ANY_FILE_READ,
-    LOG_WRITE, FCNTL, CLOSE, CALLS };
+/*
+ * Kinds of calls. SOCKET: creating internet sockets. CONNECT: to IPv4 addresses. ACCEPT to SETSOCKOPT, CLOSE: on stream
+ * sockets. FCNTL: setting the flags of stream sockets. WAIT: epoll_wait and poll. OPEN, FILE_READ: opening and reading
+ * the configuration file. ANY_FILE_READ: reading any regular file. LOG_WRITE: writing to standard output or standard
+ * error. WALL_CLOCK: a step of the wall clock, without failures.
+ */
+enum call { SOCKET, CONNECT, ACCEPT, READ, WRITE, SHUTDOWN, SETSOCKOPT, WAIT, OPEN, FILE_READ, WALL_CLOCK,
+    ANY_FILE_READ, LOG_WRITE, FCNTL, CLOSE, CALL_COUNT };
 
 struct rule {
-    /* Failures still to come; negative: until changed. */
-    int32_t left;
-    /* The error to report; 0 shortens a read or write to one byte instead. */
+    /* Number of failures still to inject; 0: the rule is inactive; negative: unlimited. */
+    int32_t remaining;
+    /* The value of errno; 0 makes a read or write on a socket transfer only one byte instead of failing. */
     int32_t error;
-    /* Port at either end of the socket, 0 for any; for WALL_CLOCK the step in seconds. */
+    /* Local or remote port of the affected sockets, 0 for any; for WALL_CLOCK the step in seconds. */
     int32_t port;
-    /* Of a thousand matching calls so many fail; 0 for all. Negative: so many more succeed, then all fail. */
+    /*
+     * Probability of a failure in thousandths; 0: every matching call fails; negative: as many matching calls succeed
+     * first, then every one fails.
+     */
     int32_t per_mille;
-    /* State of the random numbers behind per_mille. */
+    /* State of the xorshift random number generator for per_mille; must not be 0. */
     uint32_t seed;
-    /* Failures so far. */
+    /* Number of failures injected so far. */
     int32_t failed;
 };
 
+/* The mapped table, NULL if there is none. */
 static volatile struct rule *table;
+/* The value of GW_CONFIG. */
 static char config_path[4096];
 
 __attribute__((constructor)) static void load_table(void) {
@@ -54,17 +67,19 @@
     if (fd < 0) {
         return;
     }
-    void *mapped = mmap(NULL, sizeof(struct rule) * CALLS, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void *mapped = mmap(NULL, sizeof(struct rule) * CALL_COUNT, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     if (mapped != MAP_FAILED) {
         table = mapped;
     }
     close(fd);
 }
 
+/* The port of an IPv4 address, -1 for other address families. */
 static int address_port(const struct sockaddr *address) {
     return address->sa_family == AF_INET ? ntohs(((const struct sockaddr_in *) address)->sin_port) : -1;
 }
 
+/* Whether the local or the remote port of a socket is this one. */
 static int uses_port(int fd, int port) {
     struct sockaddr_storage address;
     socklen_t length = sizeof address;
@@ -83,7 +98,8 @@
     return getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
 }
 
-static int chosen(volatile struct rule *rule) {
+/* Whether the next matching call is to fail, by the rule's per_mille. */
+static int selects_call(volatile struct rule *rule) {
     if (rule->per_mille == 0) {
         return 1;
     }
@@ -99,26 +115,30 @@
     return (int32_t) (x % 1000) < rule->per_mille;
 }
 
-/* Whether this call is to fail; then its rule has counted it and errno is set. */
-static int fails(enum call call, int matches) {
+/*
+ * Whether a call is to fail; if so, counts the failure and sets errno. matches: whether the call is one that the rule
+ * applies to.
+ */
+static int inject_failure(enum call call, int matches) {
     volatile struct rule *rule = table == NULL ? NULL : &table[call];
-    if (rule == NULL || rule->left == 0 || !matches || !chosen(rule)) {
+    if (rule == NULL || rule->remaining == 0 || !matches || !selects_call(rule)) {
         return 0;
     }
-    if (rule->left > 0) {
-        rule->left--;
+    if (rule->remaining > 0) {
+        rule->remaining--;
     }
     rule->failed++;
     errno = rule->error;
     return 1;
 }
 
-static int active(enum call call) {
-    return table != NULL && table[call].left != 0;
+static int is_active(enum call call) {
+    return table != NULL && table[call].remaining != 0;
 }
 
-static int on_port(enum call call, int fd) {
-    if (!active(call)) {
+/* Whether the rule applies to this descriptor: a stream socket with the rule's port. Leaves errno unchanged. */
+static int matches_socket(enum call call, int fd) {
+    if (!is_active(call)) {
         return 0;
     }
     int saved = errno;
@@ -127,67 +147,70 @@
     return matches;
 }
 
-#define REAL(name) ((__typeof__(&name)) real(#name))
+/* libc's own function of this name. */
+#define REAL(name) ((__typeof__(&name)) find_real(#name))
 
-static void *real(const char *name) {
+static void *find_real(const char *name) {
     return dlsym(RTLD_NEXT, name);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (fails(SOCKET, domain == AF_INET || domain == AF_INET6)) {
+    if (inject_failure(SOCKET, domain == AF_INET || domain == AF_INET6)) {
         return -1;
     }
     return REAL(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    int port = active(CONNECT) ? table[CONNECT].port : 0;
-    if (fails(CONNECT, address->sa_family == AF_INET && (port == 0 || port == address_port(address)))) {
+    int port = is_active(CONNECT) ? table[CONNECT].port : 0;
+    if (inject_failure(CONNECT, address->sa_family == AF_INET && (port == 0 || port == address_port(address)))) {
         return -1;
     }
     return REAL(connect)(fd, address, length);
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
-    if (fails(ACCEPT, on_port(ACCEPT, fd))) {
+    if (inject_failure(ACCEPT, matches_socket(ACCEPT, fd))) {
         return -1;
     }
     return REAL(accept)(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    if (fails(ACCEPT, on_port(ACCEPT, fd))) {
+    if (inject_failure(ACCEPT, matches_socket(ACCEPT, fd))) {
         return -1;
     }
     return REAL(accept4)(fd, address, length, flags);
 }
 
+/* Whether the descriptor is of the configuration file; checked only while FILE_READ has an active rule. */
 static int is_config(int fd) {
     struct stat file;
     struct stat config;
     int saved = errno;
-    int same = active(FILE_READ) && fstat(fd, &file) == 0 && stat(config_path, &config) == 0
+    int is_same = is_active(FILE_READ) && fstat(fd, &file) == 0 && stat(config_path, &config) == 0
             && file.st_ino == config.st_ino && file.st_dev == config.st_dev;
     errno = saved;
-    return same;
+    return is_same;
 }
 
+/* Whether the descriptor is of a regular file; checked only while ANY_FILE_READ has an active rule. */
 static int is_regular_file(int fd) {
     struct stat file;
     int saved = errno;
-    int regular = active(ANY_FILE_READ) && fstat(fd, &file) == 0 && S_ISREG(file.st_mode);
+    int is_regular = is_active(ANY_FILE_READ) && fstat(fd, &file) == 0 && S_ISREG(file.st_mode);
     errno = saved;
-    return regular;
+    return is_regular;
 }
 
 ssize_t read(int fd, void *buffer, size_t size) {
-    if (fails(ANY_FILE_READ, is_regular_file(fd))) {
+    if (inject_failure(ANY_FILE_READ, is_regular_file(fd))) {
         return -1;
     }
-    if (fails(FILE_READ, is_config(fd))) {
+    if (inject_failure(FILE_READ, is_config(fd))) {
         return -1;
     }
-    if (fails(READ, on_port(READ, fd))) {
+    if (inject_failure(READ, matches_socket(READ, fd))) {
         if (errno != 0) {
             return -1;
         }
@@ -197,10 +220,10 @@
 }
 
 ssize_t write(int fd, const void *buffer, size_t size) {
-    if (fails(LOG_WRITE, fd == STDOUT_FILENO || fd == STDERR_FILENO)) {
+    if (inject_failure(LOG_WRITE, fd == STDOUT_FILENO || fd == STDERR_FILENO)) {
         return -1;
     }
-    if (fails(WRITE, on_port(WRITE, fd))) {
+    if (inject_failure(WRITE, matches_socket(WRITE, fd))) {
         if (errno != 0) {
             return -1;
         }
@@ -210,7 +233,7 @@
 }
 
 ssize_t writev(int fd, const struct iovec *vectors, int count) {
-    if (fails(WRITE, on_port(WRITE, fd))) {
+    if (inject_failure(WRITE, matches_socket(WRITE, fd))) {
         if (errno != 0) {
             return -1;
         }
@@ -220,104 +243,104 @@
 }
 
 int shutdown(int fd, int how) {
-    if (fails(SHUTDOWN, on_port(SHUTDOWN, fd))) {
+    if (inject_failure(SHUTDOWN, matches_socket(SHUTDOWN, fd))) {
         return -1;
     }
     return REAL(shutdown)(fd, how);
 }
 
 int setsockopt(int fd, int level, int name, const void *value, socklen_t length) {
-    if (fails(SETSOCKOPT, on_port(SETSOCKOPT, fd))) {
+    if (inject_failure(SETSOCKOPT, matches_socket(SETSOCKOPT, fd))) {
         return -1;
     }
     return REAL(setsockopt)(fd, level, name, value, length);
 }
 
-/* The descriptor is gone all the same, as on Linux. */
+/* Closes the descriptor even if the call is to fail, as Linux does. */
 int close(int fd) {
-    int failing = fails(CLOSE, on_port(CLOSE, fd));
+    int must_fail = inject_failure(CLOSE, matches_socket(CLOSE, fd));
     int error = errno;
     int result = REAL(close)(fd);
-    if (failing) {
+    if (must_fail) {
         errno = error;
         return -1;
     }
     return result;
 }
 
-int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
-    if (fails(WAIT, 1)) {
+int epoll_wait(int epoll, struct epoll_event *events, int max_events, int timeout) {
+    if (inject_failure(WAIT, 1)) {
         return -1;
     }
-    return REAL(epoll_wait)(epoll, events, most, timeout);
+    return REAL(epoll_wait)(epoll, events, max_events, timeout);
 }
 
 int poll(struct pollfd *fds, nfds_t count, int timeout) {
-    if (fails(WAIT, 1)) {
+    if (inject_failure(WAIT, 1)) {
         return -1;
     }
     return REAL(poll)(fds, count, timeout);
 }
 
 static int set_flags(int fd, int command, long argument) {
-    if (fails(FCNTL, command == F_SETFL && on_port(FCNTL, fd))) {
+    if (inject_failure(FCNTL, command == F_SETFL && matches_socket(FCNTL, fd))) {
         return -1;
     }
     return REAL(fcntl)(fd, command, argument);
 }
 
 int fcntl(int fd, int command, ...) {
-    va_list rest;
-    va_start(rest, command);
-    long argument = va_arg(rest, long);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, command);
+    long argument = va_arg(arguments, long);
+    va_end(arguments);
     return set_flags(fd, command, argument);
 }
 
 int fcntl64(int fd, int command, ...) {
-    va_list rest;
-    va_start(rest, command);
-    long argument = va_arg(rest, long);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, command);
+    long argument = va_arg(arguments, long);
+    va_end(arguments);
     return set_flags(fd, command, argument);
 }
 
 int open(const char *path, int flags, ...) {
-    va_list rest;
-    va_start(rest, flags);
-    mode_t mode = va_arg(rest, mode_t);
-    va_end(rest);
-    if (fails(OPEN, strcmp(path, config_path) == 0)) {
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = va_arg(arguments, mode_t);
+    va_end(arguments);
+    if (inject_failure(OPEN, strcmp(path, config_path) == 0)) {
         return -1;
     }
     return REAL(open)(path, flags, mode);
 }
 
 int open64(const char *path, int flags, ...) {
-    va_list rest;
-    va_start(rest, flags);
-    mode_t mode = va_arg(rest, mode_t);
-    va_end(rest);
-    if (fails(OPEN, strcmp(path, config_path) == 0)) {
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = va_arg(arguments, mode_t);
+    va_end(arguments);
+    if (inject_failure(OPEN, strcmp(path, config_path) == 0)) {
         return -1;
     }
     return REAL(open64)(path, flags, mode);
 }
 
-static int64_t wall_step_seconds(void) {
-    return active(WALL_CLOCK) ? table[WALL_CLOCK].port : 0;
+static int64_t wall_clock_step_s(void) {
+    return is_active(WALL_CLOCK) ? table[WALL_CLOCK].port : 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
     int result = REAL(clock_gettime)(clock, time);
     if (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE) {
-        time->tv_sec += wall_step_seconds();
+        time->tv_sec += wall_clock_step_s();
     }
     return result;
 }
 
 int gettimeofday(struct timeval *time, void *zone) {
     int result = REAL(gettimeofday)(time, zone);
-    time->tv_sec += wall_step_seconds();
+    time->tv_sec += wall_clock_step_s();
     return result;
 }
--- a/src/test/java/eiderscale/FleetSlowStartTest.java
+++ b/src/test/java/eiderscale/FleetSlowStartTest.java
@@ -6,113 +6,126 @@
 import eiderscale.Api.Reason;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.Deque;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many instances on one clock, each with a thin, uneven and bursty part of the traffic, before a host that has just
- * started: what all of them send it together stays within its budget and chance.
+ * Simulates many instances on one clock, each with a small, uneven and bursty part of the traffic, and a host that
+ * starts cold. What all instances together send to it must stay within its budget, up to random variation.
  */
 class FleetSlowStartTest {
+    /** One millisecond in nanoseconds. */
     private static final long MS = 1_000_000L;
-    private static final long WARM = 8_000 * MS;
-    private static final long FALL = 1_500 * MS;
-    private static final double COLD = 0.31;
-    private static final double MULTIPLE = 3;
-    private static final long COLD_HOST = 1;
-    /** Seeds of a run; the figures in the record are of 200. */
-    private static final int SEEDS = Integer.getInteger("fleet.seeds", 10);
-
-    /** One day in small: hosts of equal size, one of which starts cold at 12 s. */
+    private static final long SLOW_START_NS = 8_000 * MS;
+    private static final long OVERLOAD_WINDOW_NS = 1_500 * MS;
+    private static final double INITIAL_CAPACITY_FRACTION = 0.31;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long COLD_HOST_ID = 1;
+    /** Seeds simulated per case; the recorded figures were measured with 200. */
+    private static final int SEED_COUNT = Integer.getInteger("fleet.seeds", 10);
+
+    /** A simulated fleet: hosts of equal size, one of which starts cold at 12 s. Times are in nanoseconds. */
     private static final class Fleet {
-        private static final long END = 22_000 * MS;
-        private static final long START = 12_000 * MS;
-        private static final double MEAN_WORK_MS = 120;
-        private static final int CORES = 4;
-        private static final int KEYS = 2_000;
+        private static final long END_AT = 22_000 * MS;
+        private static final long COLD_START_AT = 12_000 * MS;
+        private static final double MEAN_SERVICE_TIME_MS = 120;
+        private static final int CORES_PER_HOST = 4;
+        private static final int KEY_COUNT = 2_000;
 
-        private record Event(long at, long order, Runnable action) {
+        private record Event(long dueAt, long sequence, Runnable action) {
         }
 
         private final SplittableRandom random;
         private final PriorityQueue<Event> events = new PriorityQueue<>(
-                java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+                Comparator.comparingLong(Event::dueAt).thenComparingLong(Event::sequence));
         private final List<Router> routers = new ArrayList<>();
-        private final double[] shares;
-        private final int hosts;
-        private final double load;
-        private final Deque<Long> window = new ArrayDeque<>();
+        /** Fraction of the traffic that each instance gets. */
+        private final double[] trafficShares;
+        private final int hostCount;
+        private final double utilization;
+        /** When the requests of the last overload window were sent to the cold host. */
+        private final Deque<Long> recentColdSends = new ArrayDeque<>();
         private long now;
-        private long order;
-        private long requests;
-        /** The most that was sent in a window, as a part of its budget with what is put down to chance. */
-        double worst;
-        int sent;
-
-        Fleet(long seed, int balancers, int hosts, double load) {
+        private long nextSequence;
+        private long requestCount;
+        /**
+         * Most requests sent to the cold host within an overload window, divided by the budget plus an allowance for
+         * random variation: two standard deviations and 2.
+         */
+        double maxBudgetRatio;
+        /** Requests sent to the cold host during its slow start. */
+        int coldSends;
+
+        Fleet(long seed, int instanceCount, int hostCount, double utilization) {
             this.random = new SplittableRandom(seed);
-            this.hosts = hosts;
-            this.load = load;
-            shares = new double[balancers];
+            this.hostCount = hostCount;
+            this.utilization = utilization;
+            trafficShares = new double[instanceCount];
             double sum = 0;
-            for (int i = 0; i < balancers; i++) {
-                shares[i] = 0.3 + random.nextDouble() * random.nextDouble() * 4;
-                sum += shares[i];
+            for (int i = 0; i < instanceCount; i++) {
+                trafficShares[i] = 0.3 + random.nextDouble() * random.nextDouble() * 4;
+                sum += trafficShares[i];
             }
-            for (int i = 0; i < balancers; i++) {
-                shares[i] /= sum;
-                routers.add(router(i, balancers, random.nextLong()));
+            for (int i = 0; i < instanceCount; i++) {
+                trafficShares[i] /= sum;
+                routers.add(createRouter(i, instanceCount, random.nextLong()));
             }
         }
 
-        private Router router(int rank, int balancers, long seed) {
+        private Router createRouter(int rank, int instanceCount, long seed) {
             Api.RequestClass read = new Api.RequestClass(750 * MS, 0, 1_500 * MS, 2, 0.25, Api.Effect.IDEMPOTENT,
                     Api.Group.ALL, 0, false, false);
-            Api.Settings settings = new Api.Settings(List.of(read), List.of(), 0, rank, balancers, false, -1, false, 5,
-                    true, true, true, 2_000 * MS, 500 * MS, 10_000 * MS, COLD, WARM, MULTIPLE, FALL, 1, 0, null,
+            Api.Settings settings = new Api.Settings(List.of(read), List.of(), 0, rank, instanceCount, false, -1, false,
+                    5, true, true, true, 2_000 * MS, 500 * MS, 10_000 * MS, INITIAL_CAPACITY_FRACTION, SLOW_START_NS,
+                    OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_NS, 1, 0, null,
                     new Api.LoadReportLayout(-1, -1, -1));
             Router[] self = new Router[1];
             self[0] = new Router(settings, seed, new Api.Actions() {
-                private final java.util.Map<Long, Integer> attempts = new java.util.HashMap<>();
+                private final Map<Long, Integer> attemptCounts = new HashMap<>();
 
                 @Override
-                public void send(long request, long server, long cutAt) {
-                    int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-                    long took = (long) (-Math.log(1 - random.nextDouble()) * MEAN_WORK_MS * MS) + 2 * MS;
-                    boolean failed = random.nextInt(50) == 0;
-                    if (server == COLD_HOST && now < START + WARM) {
-                        count();
+                public void send(long requestId, long serverId, long attemptDeadline) {
+                    int attemptIndex = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
+                    long elapsedNs = (long) (-Math.log(1 - random.nextDouble()) * MEAN_SERVICE_TIME_MS * MS) + 2 * MS;
+                    boolean hasFailed = random.nextInt(50) == 0;
+                    if (serverId == COLD_HOST_ID && now < COLD_START_AT + SLOW_START_NS) {
+                        recordColdSend();
                     }
-                    at(now + Math.min(took, cutAt - now), () -> self[0].onAttemptOutcome(now, new Api.AttemptOutcome(request, attempt,
-                            took > cutAt - now ? Reason.TIMEOUT : failed ? Reason.ERROR : Reason.OK, took,
-                            !failed && took <= cutAt - now, new float[0])));
+                    schedule(now + Math.min(elapsedNs, attemptDeadline - now),
+                            () -> self[0].onAttemptOutcome(now, new Api.AttemptOutcome(requestId, attemptIndex,
+                                    elapsedNs > attemptDeadline - now ? Reason.TIMEOUT
+                                            : hasFailed ? Reason.ERROR : Reason.OK, elapsedNs,
+                                    !hasFailed && elapsedNs <= attemptDeadline - now, new float[0])));
                 }
 
                 @Override
-                public void cancel(long request, int attempt) {
-                    at(now, () -> self[0].onAttemptOutcome(now,
-                            new Api.AttemptOutcome(request, attempt, Reason.CANCELLED, 0, true, new float[0])));
+                public void cancel(long requestId, int attemptIndex) {
+                    schedule(now, () -> self[0].onAttemptOutcome(now,
+                            new Api.AttemptOutcome(requestId, attemptIndex, Reason.CANCELLED, 0, true, new float[0])));
                 }
 
                 @Override
-                public void scheduleTimer(long moment, int token) {
-                    at(moment, () -> self[0].onTimer(now, token));
+                public void scheduleTimer(long dueAt, int token) {
+                    schedule(dueAt, () -> self[0].onTimer(now, token));
                 }
 
                 @Override
-                public void refuse(long request, long retryAfter) {
+                public void refuse(long requestId, long retryAfterNs) {
                 }
 
                 @Override
-                public void fail(long request) {
+                public void fail(long requestId) {
                 }
 
                 @Override
-                public void closeIdleConnections(long server) {
+                public void closeIdleConnections(long serverId) {
                 }
 
                 @Override
@@ -122,68 +135,77 @@
             return self[0];
         }
 
-        private void at(long moment, Runnable action) {
-            events.add(new Event(Math.max(now, moment), order++, action));
+        /** Runs an action at the given instant, or now if that is past. */
+        private void schedule(long dueAt, Runnable action) {
+            events.add(new Event(Math.max(now, dueAt), nextSequence++, action));
         }
 
-        /** One more request reached the cold host. */
-        private void count() {
-            sent++;
-            window.add(now);
-            while (window.peek() <= now - FALL) {
-                window.poll();
+        /** Counts a request sent to the cold host and compares the last overload window with the budget. */
+        private void recordColdSend() {
+            coldSends++;
+            recentColdSends.add(now);
+            while (recentColdSends.peek() <= now - OVERLOAD_WINDOW_NS) {
+                recentColdSends.poll();
             }
-            double grown = Math.min(1, (double) (now - START) / WARM);
-            double capacity = CORES * 1_000 / MEAN_WORK_MS * (COLD + (1 - COLD) * grown);
-            double budget = MULTIPLE * capacity * FALL / 1e9;
-            worst = Math.max(worst, window.size() / (budget + 2 * Math.sqrt(budget) + 2));
+            double elapsedFraction = Math.min(1, (double) (now - COLD_START_AT) / SLOW_START_NS);
+            double requestsPerSecond = CORES_PER_HOST * 1_000 / MEAN_SERVICE_TIME_MS
+                    * (INITIAL_CAPACITY_FRACTION + (1 - INITIAL_CAPACITY_FRACTION) * elapsedFraction);
+            double budget = OVERLOAD_MULTIPLE * requestsPerSecond * OVERLOAD_WINDOW_NS / 1e9;
+            maxBudgetRatio = Math.max(maxBudgetRatio, recentColdSends.size() / (budget + 2 * Math.sqrt(budget) + 2));
         }
 
         private static Api.Server host(long id, long startedAt) {
             return new Api.Server(id, 0, 0, 0, Api.State.READY, 1, startedAt);
         }
 
-        /** Plays the day; {@code hot} is the part of the traffic that one key draws from just after the start. */
-        Fleet play(double hot) {
+        /**
+         * Runs the simulation.
+         *
+         * @param hotFraction fraction of the traffic for one hot key, from 0.5 s after the cold start on
+         */
+        Fleet simulate(double hotFraction) {
             List<Api.Server> list = new ArrayList<>();
-            for (int id = 2; id <= hosts; id++) {
+            for (int id = 2; id <= hostCount; id++) {
                 list.add(host(id, 0));
             }
             for (Router router : routers) {
                 router.onServerList(0, ListMode.FULL, list);
-                at(START + 20 * MS + random.nextLong(2_000 * MS), () -> router.onServerList(now, ListMode.DELTA,
-                        List.of(host(COLD_HOST, START))));
+                schedule(COLD_START_AT + 20 * MS + random.nextLong(2_000 * MS),
+                        () -> router.onServerList(now, ListMode.DELTA, List.of(host(COLD_HOST_ID, COLD_START_AT))));
             }
-            double perNs = load * hosts * CORES / (MEAN_WORK_MS * MS);
-            at(0, () -> arrive(perNs, hot));
-            while (!events.isEmpty() && now < END) {
+            double requestsPerNs = utilization * hostCount * CORES_PER_HOST / (MEAN_SERVICE_TIME_MS * MS);
+            schedule(0, () -> deliverRequest(requestsPerNs, hotFraction));
+            while (!events.isEmpty() && now < END_AT) {
                 Event event = events.poll();
-                now = event.at;
+                now = event.dueAt;
                 event.action.run();
             }
             return this;
         }
 
-        private void arrive(double perNs, double hot) {
-            double pick = random.nextDouble();
-            int at = 0;
-            while (at < shares.length - 1 && pick >= shares[at]) {
-                pick -= shares[at++];
+        /** Delivers a request to a random instance and schedules the next one. */
+        private void deliverRequest(double requestsPerNs, double hotFraction) {
+            double draw = random.nextDouble();
+            int instance = 0;
+            while (instance < trafficShares.length - 1 && draw >= trafficShares[instance]) {
+                draw -= trafficShares[instance++];
             }
-            long key = now > START + 500 * MS && random.nextDouble() < hot ? HOT_KEY
-                    : Candidates.mix64((long) (KEYS * Math.pow(random.nextDouble(), 3)) + 77);
-            routers.get(at).onRequest(now, new Api.Request(++requests, 0, 0, key, now + 1_500 * MS, 0, false, false));
-            // Bursts of half as much again, a second in every three.
-            double rate = perNs * (now / (1_000 * MS) % 3 == 0 ? 1.5 : 0.75);
-            at(now + (long) (-Math.log(1 - random.nextDouble()) / rate), () -> arrive(perNs, hot));
+            long key = now > COLD_START_AT + 500 * MS && random.nextDouble() < hotFraction ? COLD_HOST_KEY
+                    : Candidates.mix64((long) (KEY_COUNT * Math.pow(random.nextDouble(), 3)) + 77);
+            routers.get(instance).onRequest(now,
+                    new Api.Request(++requestCount, 0, 0, key, now + 1_500 * MS, 0, false, false));
+            // Bursts at 1.5 times the mean rate during one second in three; the other two are below it.
+            double rate = requestsPerNs * (now / (1_000 * MS) % 3 == 0 ? 1.5 : 0.75);
+            schedule(now + (long) (-Math.log(1 - random.nextDouble()) / rate),
+                    () -> deliverRequest(requestsPerNs, hotFraction));
         }
     }
 
-    /** A key whose hash lets the cold host have it from the first moment, so that it is hot there. */
-    private static final long HOT_KEY = hotKey();
+    /** The hot key: its hash makes the cold host one of its first candidates, eligible from the start. */
+    private static final long COLD_HOST_KEY = findColdHostKey();
 
-    private static long hotKey() {
-        long salt = Candidates.mix64(COLD_HOST + 0x9e3779b97f4a7c15L);
+    private static long findColdHostKey() {
+        long salt = Candidates.mix64(COLD_HOST_ID + 0x9e3779b97f4a7c15L);
         for (long key = 1; ; key++) {
             long hash = Candidates.mix64(key ^ salt);
             if ((hash & 2047) < 200 && (hash >>> 11) * 0x1.0p-53 < 0.001) {
@@ -194,17 +216,18 @@
 
     @ParameterizedTest
     @CsvSource({"5,12,0.0", "20,12,0.0", "30,16,0.0", "100,60,0.0", "5,12,0.2", "20,12,0.2", "30,16,0.2", "100,60,0.2"})
-    void allInstancesTogetherStayWithinTheBudgetOfAColdHost(int balancers, int hosts, double hot) {
-        double worst = 0;
-        int sent = 0;
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            Fleet fleet = new Fleet(seed, balancers, hosts, 0.6).play(hot);
-            worst = Math.max(worst, fleet.worst);
-            sent += fleet.sent;
+    void allInstancesTogetherStayWithinTheColdHostsBudget(int instanceCount, int hostCount, double hotFraction) {
+        double maxBudgetRatio = 0;
+        int coldSends = 0;
+        for (int seed = 1; seed <= SEED_COUNT; seed++) {
+            Fleet fleet = new Fleet(seed, instanceCount, hostCount, 0.6).simulate(hotFraction);
+            maxBudgetRatio = Math.max(maxBudgetRatio, fleet.maxBudgetRatio);
+            coldSends += fleet.coldSends;
         }
-        System.out.printf("%d balancers, %d hosts, hot %.1f: at most %.2f of the budget; %d sent while cold%n",
-                balancers, hosts, hot, worst, sent / SEEDS);
-        assertTrue(sent / SEEDS > 50, "the cold host is used");
-        assertTrue(worst <= 1, "sent " + worst + " times the budget with what is chance");
+        System.out.printf("%d instances, %d hosts, hot key %.1f: at most %.2f of the budget; %d sent while cold%n",
+                instanceCount, hostCount, hotFraction, maxBudgetRatio, coldSends / SEED_COUNT);
+        assertTrue(coldSends / SEED_COUNT > 50, "the cold host gets too few requests");
+        assertTrue(maxBudgetRatio <= 1,
+                "sent " + maxBudgetRatio + " times the budget and its allowance for random variation");
     }
 }
--- a/src/test/java/eiderscale/RouterTest.java
+++ b/src/test/java/eiderscale/RouterTest.java
@@ -14,376 +14,399 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Tests the decisions of the {@link Router} one at a time, with default settings unless a test changes them. */
 class RouterTest {
-    private static Bed bed() {
-        return new Bed(new Bed.SettingsBuilder());
+    private static RouterHarness harness() {
+        return new RouterHarness(new RouterHarness.SettingsBuilder());
     }
 
     @Test
-    void exampleRoutesToOneOfItsServers() {
-        assertTrue(List.of(1L, 2L).contains(EmbeddingExample.routeOne()));
+    void embeddingExampleSendsToOneOfItsServers() {
+        assertTrue(List.of(1L, 2L).contains(EmbeddingExample.sendOneRead()));
     }
 
     @Test
-    void aKeyStaysOnItsHostAndGoesToTheOtherCandidateWhenThatIsBusy() {
-        Bed bed = bed().servers(8);
-        long first = bed.request(1, Bed.READ, 5).server();
-        bed.outcome(1, 0, Reason.OK);
-        assertEquals(first, bed.request(2, Bed.READ, 5).server());
-        long second = bed.request(3, Bed.READ, 5).server();
-        assertNotEquals(first, second);
-        bed.outcome(3, 0, Reason.OK);
-        assertEquals(second, bed.request(4, Bed.READ, 5).server());
+    void keyStaysOnItsHostAndMovesToTheOtherCandidateWhileThatIsBusy() {
+        RouterHarness harness = harness().withServers(8);
+        long firstHostId = harness.submitRequest(1, RouterHarness.READ, 5).serverId();
+        harness.endAttempt(1, 0, Reason.OK);
+        assertEquals(firstHostId, harness.submitRequest(2, RouterHarness.READ, 5).serverId());
+        long secondHostId = harness.submitRequest(3, RouterHarness.READ, 5).serverId();
+        assertNotEquals(firstHostId, secondHostId);
+        harness.endAttempt(3, 0, Reason.OK);
+        assertEquals(secondHostId, harness.submitRequest(4, RouterHarness.READ, 5).serverId());
     }
 
     @Test
-    void anEmptyDigestHedgesNothing() {
-        Bed bed = bed().servers(4);
-        bed.request(1, Bed.READ, 5);
-        bed.pass(900);
-        assertEquals(1, bed.sends.size());
+    void noHedgeWithoutLatencySamples() {
+        RouterHarness harness = harness().withServers(4);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        harness.advanceMs(900);
+        assertEquals(1, harness.sentAttempts.size());
     }
 
     @Test
-    void aHandfulOfSamplesHedgesNothing() {
-        Bed bed = bed().servers(4);
-        bed.warmDigest(20);
-        bed.request(1, Bed.READ, 5);
-        bed.pass(900);
-        assertEquals(1, bed.sends.size());
+    void noHedgeWithTooFewLatencySamples() {
+        RouterHarness harness = harness().withServers(4);
+        harness.fillLatencyDigest(20);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        harness.advanceMs(900);
+        assertEquals(1, harness.sentAttempts.size());
     }
 
     @Test
-    void aSlowReadGetsOneCopyAndTheLoserIsCancelled() {
-        Bed bed = bed().servers(4);
-        bed.warmDigest(40);
-        long first = bed.request(1, Bed.READ, 5).server();
-        bed.pass(900);
-        assertEquals(2, bed.sends.size());
-        assertNotEquals(first, bed.sends.get(1).server());
-        bed.outcome(1, 1, Reason.OK);
-        assertEquals(List.of("1/0"), bed.cancels);
-        assertNull(bed.outcome(1, 0, Reason.CANCELLED));
+    void slowReadIsHedgedOnceAndTheSlowerAttemptIsCancelled() {
+        RouterHarness harness = harness().withServers(4);
+        harness.fillLatencyDigest(40);
+        long firstHostId = harness.submitRequest(1, RouterHarness.READ, 5).serverId();
+        harness.advanceMs(900);
+        assertEquals(2, harness.sentAttempts.size());
+        assertNotEquals(firstHostId, harness.sentAttempts.get(1).serverId());
+        harness.endAttempt(1, 1, Reason.OK);
+        assertEquals(List.of("1/0"), harness.cancelledAttempts);
+        assertNull(harness.endAttempt(1, 0, Reason.CANCELLED));
     }
 
     @Test
-    void writesGetNoCopy() {
-        Bed bed = bed().servers(4);
-        bed.warmDigest(40);
-        bed.request(1, Bed.KEYED, 5);
-        bed.request(2, Bed.UNSAFE, 6);
-        bed.pass(900);
-        assertEquals(2, bed.sends.size());
+    void writesAreNotHedged() {
+        RouterHarness harness = harness().withServers(4);
+        harness.fillLatencyDigest(40);
+        harness.submitRequest(1, RouterHarness.DEDUPLICATED_WRITE, 5);
+        harness.submitRequest(2, RouterHarness.NON_IDEMPOTENT_WRITE, 6);
+        harness.advanceMs(900);
+        assertEquals(2, harness.sentAttempts.size());
     }
 
-    /** As when this machine has no socket for a connection to the one host, and an idle connection to another. */
+    /** Happens when this machine has no socket left for a connection to one host, but an idle one to another. */
     @Test
-    void anAttemptThatCouldNotLeaveThisMachineIsMadeAtOtherHostsAtNoCost() {
-        Bed bed = bed().servers(4);
+    void attemptsThatNeverLeftThisMachineAreRetriedWithoutBudget() {
+        RouterHarness harness = harness().withServers(4);
         for (int i = 0; i < 50; i++) {
             Set<Long> tried = new HashSet<>();
-            tried.add(bed.request(i, i % 2 == 0 ? Bed.READ : Bed.UNSAFE, 5).server());
-            tried.add(bed.outcome(i, 0, Reason.MOOT).server());
-            tried.add(bed.outcome(i, 1, Reason.MOOT).server());
+            tried.add(harness.submitRequest(i, i % 2 == 0 ? RouterHarness.READ : RouterHarness.NON_IDEMPOTENT_WRITE, 5)
+                    .serverId());
+            tried.add(harness.endAttempt(i, 0, Reason.MOOT).serverId());
+            tried.add(harness.endAttempt(i, 1, Reason.MOOT).serverId());
             assertEquals(3, tried.size());
-            bed.outcome(i, 2, Reason.OK);
+            harness.endAttempt(i, 2, Reason.OK);
         }
-        assertEquals(List.of(), bed.failures);
+        assertEquals(List.of(), harness.failedRequestIds);
     }
 
     @Test
-    void aRequestThatCannotLeaveThisMachineIsRefusedAtOnce() {
-        Bed bed = bed().servers(2);
-        bed.request(1, Bed.UNSAFE, 5);
-        assertNotNull(bed.outcome(1, 0, Reason.MOOT));
-        assertNull(bed.outcome(1, 1, Reason.MOOT));
-        assertTrue(bed.refused(1));
+    void requestThatCannotLeaveThisMachineIsRefusedAtOnce() {
+        RouterHarness harness = harness().withServers(2);
+        harness.submitRequest(1, RouterHarness.NON_IDEMPOTENT_WRITE, 5);
+        assertNotNull(harness.endAttempt(1, 0, Reason.MOOT));
+        assertNull(harness.endAttempt(1, 1, Reason.MOOT));
+        assertTrue(harness.isRefused(1));
     }
 
+    /** Guards against a hedge for every read when all caches slow down at once. */
     @Test
-    void copiesKeepToTheirBudget() {
-        Bed bed = bed().servers(8);
-        bed.warmDigest(40);
+    void hedgesStayWithinTheirBudget() {
+        RouterHarness harness = harness().withServers(8);
+        harness.fillLatencyDigest(40);
         for (int i = 0; i < 100; i++) {
-            bed.request(i, Bed.READ, i);
+            harness.submitRequest(i, RouterHarness.READ, i);
         }
-        bed.pass(500);
-        int copies = bed.sends.size() - 100;
-        assertTrue(copies > 0 && copies <= 10 + 0.2 * 140, "copies: " + copies);
+        harness.advanceMs(500);
+        int hedges = harness.sentAttempts.size() - 100;
+        assertTrue(hedges > 0 && hedges <= 10 + 0.2 * 140, "hedges: " + hedges);
     }
 
+    /** The writes of cache-aside mode go to the origin at once; neither they nor fetches after a miss are hedged. */
     @Test
-    void aMissGoesToTheOriginAndWritesGoStraightThere() {
-        Bed bed = Bed.aside(4);
-        assertNotEquals(99, bed.request(1, Bed.READ, 5).server());
-        assertEquals(99, bed.outcome(1, 0, Reason.MISS).server());
-        assertEquals(99, bed.request(2, Bed.KEYED, 5).server());
-        bed.pass(900);
-        assertEquals(3, bed.sends.size());
+    void missesAndWritesGoToTheOriginAndAreNotHedged() {
+        RouterHarness harness = RouterHarness.cacheAside(4);
+        assertNotEquals(99, harness.submitRequest(1, RouterHarness.READ, 5).serverId());
+        assertEquals(99, harness.endAttempt(1, 0, Reason.MISS).serverId());
+        assertEquals(99, harness.submitRequest(2, RouterHarness.DEDUPLICATED_WRITE, 5).serverId());
+        harness.advanceMs(900);
+        assertEquals(3, harness.sentAttempts.size());
     }
 
     @Test
-    void anUnsafeRequestIsNotRepeatedNorRefusedOnceItMayHaveRun() {
-        Bed bed = bed().servers(4);
-        bed.request(1, Bed.UNSAFE, 5);
-        assertNull(bed.outcome(1, 0, Reason.RESET));
-        assertEquals(List.of(1L), bed.failures);
-        bed.request(2, Bed.UNSAFE, 5);
-        assertNotNull(bed.outcome(2, 0, Reason.REJECTED));
-        assertNull(bed.outcome(2, 1, Reason.TIMEOUT));
-        assertEquals(List.of(1L, 2L), bed.failures);
-        assertTrue(bed.refusals.isEmpty());
+    void nonIdempotentRequestIsNotRetriedOrRefusedOnceItMayHaveRun() {
+        RouterHarness harness = harness().withServers(4);
+        harness.submitRequest(1, RouterHarness.NON_IDEMPOTENT_WRITE, 5);
+        assertNull(harness.endAttempt(1, 0, Reason.RESET));
+        assertEquals(List.of(1L), harness.failedRequestIds);
+        harness.submitRequest(2, RouterHarness.NON_IDEMPOTENT_WRITE, 5);
+        assertNotNull(harness.endAttempt(2, 0, Reason.REJECTED));
+        assertNull(harness.endAttempt(2, 1, Reason.TIMEOUT));
+        assertEquals(List.of(1L, 2L), harness.failedRequestIds);
+        assertTrue(harness.refusals.isEmpty());
     }
 
     @Test
-    void aKeyedRequestIsRepeatedOnlyWithinItsWindow() {
-        Bed bed = bed().servers(4);
-        bed.request(1, Bed.KEYED, 5);
-        bed.pass(100);
-        assertNotNull(bed.outcome(1, 0, Reason.RESET));
-        bed.pass(500);
-        assertNull(bed.outcome(1, 1, Reason.RESET));
-        assertTrue(bed.refused(1));
+    void deduplicatedRequestIsRetriedOnlyWithinTheDedupWindow() {
+        RouterHarness harness = harness().withServers(4);
+        harness.submitRequest(1, RouterHarness.DEDUPLICATED_WRITE, 5);
+        harness.advanceMs(100);
+        assertNotNull(harness.endAttempt(1, 0, Reason.RESET));
+        harness.advanceMs(500);
+        assertNull(harness.endAttempt(1, 1, Reason.RESET));
+        assertTrue(harness.isRefused(1));
     }
 
+    /** The two servers are in different cells, so that neither drops a repeat of what the other has executed. */
     @Test
-    void aKeyedRequestStaysInItsGroup() {
-        Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
-        builder.group = Api.Group.CELL;
-        Bed bed = new Bed(builder);
-        bed.list(List.of(new Api.Server(1, 0, 0, 1, Api.State.READY, 1, 0),
+    void deduplicatedRequestIsRetriedOnlyWithinTheDedupScope() {
+        RouterHarness.SettingsBuilder builder = new RouterHarness.SettingsBuilder();
+        builder.dedupScope = Api.Group.CELL;
+        RouterHarness harness = new RouterHarness(builder);
+        harness.applyFullList(List.of(new Api.Server(1, 0, 0, 1, Api.State.READY, 1, 0),
                 new Api.Server(2, 0, 0, 2, Api.State.READY, 1, 0)));
-        bed.request(1, Bed.KEYED, 5);
-        assertNull(bed.outcome(1, 0, Reason.RESET));
-        assertEquals(List.of(1L), bed.failures);
+        harness.submitRequest(1, RouterHarness.DEDUPLICATED_WRITE, 5);
+        assertNull(harness.endAttempt(1, 0, Reason.RESET));
+        assertEquals(List.of(1L), harness.failedRequestIds);
     }
 
     @Test
-    void noSecondPendingAttemptWhereDuplicatesAreForbidden() {
-        Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
-        builder.mayDuplicate = false;
-        Bed bed = new Bed(builder).servers(4);
-        bed.warmDigest(40);
-        bed.request(1, Bed.READ, 5);
-        bed.pass(900);
-        assertEquals(1, bed.sends.size());
+    void noHedgeWhereHedgingIsNotAllowed() {
+        RouterHarness.SettingsBuilder builder = new RouterHarness.SettingsBuilder();
+        builder.mayHedge = false;
+        RouterHarness harness = new RouterHarness(builder).withServers(4);
+        harness.fillLatencyDigest(40);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        harness.advanceMs(900);
+        assertEquals(1, harness.sentAttempts.size());
     }
 
     @Test
-    void attemptsAreCapped() {
-        Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
+    void attemptsAreLimitedToMaxAttempts() {
+        RouterHarness.SettingsBuilder builder = new RouterHarness.SettingsBuilder();
         builder.maxAttempts = 2;
-        Bed bed = new Bed(builder).servers(6);
-        bed.request(1, Bed.READ, 5);
-        assertNotNull(bed.outcome(1, 0, Reason.CONNECT_FAILED));
-        assertNull(bed.outcome(1, 1, Reason.CONNECT_FAILED));
-        assertTrue(bed.refused(1));
+        RouterHarness harness = new RouterHarness(builder).withServers(6);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        assertNotNull(harness.endAttempt(1, 0, Reason.CONNECT_FAILED));
+        assertNull(harness.endAttempt(1, 1, Reason.CONNECT_FAILED));
+        assertTrue(harness.isRefused(1));
     }
 
     @Test
-    void anEmptyListIsAnsweredAtOnce() {
-        Bed bed = bed();
-        assertNull(bed.request(1, Bed.READ, 5));
-        assertTrue(bed.refused(1));
-        Bed noOrigin = Bed.aside(0);
-        noOrigin.list(List.of());
-        assertNull(noOrigin.request(2, Bed.KEYED, 5));
-        assertTrue(noOrigin.refused(2));
+    void requestsAreRefusedAtOnceWhenTheServerListIsEmpty() {
+        RouterHarness harness = harness();
+        assertNull(harness.submitRequest(1, RouterHarness.READ, 5));
+        assertTrue(harness.isRefused(1));
+        RouterHarness cacheAside = RouterHarness.cacheAside(0);
+        cacheAside.applyFullList(List.of());
+        assertNull(cacheAside.submitRequest(2, RouterHarness.DEDUPLICATED_WRITE, 5));
+        assertTrue(cacheAside.isRefused(2));
     }
 
     @Test
-    void aClientThatLeftIsOwedNothingAndItsAttemptIsCancelled() {
-        Bed bed = bed().servers(4);
-        bed.request(1, Bed.READ, 5);
-        bed.router.onClientGone(bed.now, 1);
-        assertEquals(List.of("1/0"), bed.cancels);
-        assertNull(bed.outcome(1, 0, Reason.RESET));
-        bed.router.onClientGone(bed.now, 1);
-        bed.outcome(1, 0, Reason.OK);
-        assertTrue(bed.refusals.isEmpty() && bed.failures.isEmpty());
+    void disconnectedClientGetsNoAnswerAndItsAttemptIsCancelled() {
+        RouterHarness harness = harness().withServers(4);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        harness.router.onClientGone(harness.now, 1);
+        assertEquals(List.of("1/0"), harness.cancelledAttempts);
+        assertNull(harness.endAttempt(1, 0, Reason.RESET));
+        harness.router.onClientGone(harness.now, 1);
+        harness.endAttempt(1, 0, Reason.OK);
+        assertTrue(harness.refusals.isEmpty() && harness.failedRequestIds.isEmpty());
     }
 
     @Test
-    void unknownIdsArePassedOver() {
-        Bed bed = bed().servers(4);
-        bed.outcome(77, 0, Reason.OK);
-        bed.router.onClientGone(bed.now, 77);
-        bed.router.onFirstByte(bed.now, 77, 0);
-        bed.router.onTimer(bed.now, 12345);
-        assertTrue(bed.sends.isEmpty() && bed.refusals.isEmpty());
+    void eventsWithUnknownIdsAreIgnored() {
+        RouterHarness harness = harness().withServers(4);
+        harness.endAttempt(77, 0, Reason.OK);
+        harness.router.onClientGone(harness.now, 77);
+        harness.router.onFirstByte(harness.now, 77, 0);
+        harness.router.onTimer(harness.now, 12345);
+        assertTrue(harness.sentAttempts.isEmpty() && harness.refusals.isEmpty());
     }
 
+    /** The read may be refused, as a retry by the client is harmless; the other request can only fail. */
     @Test
-    void theLastTimeOutAtTheDeadlineIsAnswered() {
-        Bed bed = bed().servers(4);
-        bed.request(1, Bed.READ, 5);
-        bed.request(2, Bed.UNSAFE, 6);
-        bed.pass(2000);
-        bed.outcome(1, 0, Reason.TIMEOUT);
-        bed.outcome(2, 0, Reason.TIMEOUT);
-        assertTrue(bed.refused(1));
-        assertEquals(List.of(2L), bed.failures);
+    void requestsThatTimeOutAtTheDeadlineAreRefusedOrFailed() {
+        RouterHarness harness = harness().withServers(4);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        harness.submitRequest(2, RouterHarness.NON_IDEMPOTENT_WRITE, 6);
+        harness.advanceMs(2000);
+        harness.endAttempt(1, 0, Reason.TIMEOUT);
+        harness.endAttempt(2, 0, Reason.TIMEOUT);
+        assertTrue(harness.isRefused(1));
+        assertEquals(List.of(2L), harness.failedRequestIds);
     }
 
     @Test
-    void worthlessLateWorkIsCutAtTheAim() {
-        Bed bed = bed().servers(4);
-        assertEquals(bed.now + 1000 * Bed.MS, bed.request(1, Bed.READ, 5).cutAt());
-        Bed.SettingsBuilder late = new Bed.SettingsBuilder();
-        late.lateWorth = 0.5;
-        Bed other = new Bed(late).servers(4);
-        assertEquals(other.now + 2000 * Bed.MS, other.request(1, Bed.READ, 5).cutAt());
+    void attemptsEndAtTheGoalTimeIfLateAnswersHaveNoValue() {
+        RouterHarness harness = harness().withServers(4);
+        assertEquals(harness.now + 1000 * RouterHarness.MS,
+                harness.submitRequest(1, RouterHarness.READ, 5).attemptDeadline());
+        RouterHarness.SettingsBuilder builder = new RouterHarness.SettingsBuilder();
+        builder.lateValue = 0.5;
+        RouterHarness lateValueHarness = new RouterHarness(builder).withServers(4);
+        assertEquals(lateValueHarness.now + 2000 * RouterHarness.MS,
+                lateValueHarness.submitRequest(1, RouterHarness.READ, 5).attemptDeadline());
     }
 
     @Test
-    void nothingNewGoesToADrainingOrAbsentHost() {
-        Bed bed = bed().servers(3);
-        bed.delta(Bed.server(1, Api.State.DRAINING, 0), Bed.server(2, Api.State.GONE, 0));
+    void drainingAndRemovedHostsGetNoAttempts() {
+        RouterHarness harness = harness().withServers(3);
+        harness.applyDelta(RouterHarness.server(1, Api.State.DRAINING, 0), RouterHarness.server(2, Api.State.GONE, 0));
         for (int i = 0; i < 50; i++) {
-            assertEquals(3, bed.request(i, Bed.READ, i).server());
+            assertEquals(3, harness.submitRequest(i, RouterHarness.READ, i).serverId());
         }
-        bed.list(List.of(Bed.server(1)));
-        assertEquals(1, bed.request(100, Bed.READ, 5).server());
+        harness.applyFullList(List.of(RouterHarness.server(1)));
+        assertEquals(1, harness.submitRequest(100, RouterHarness.READ, 5).serverId());
     }
 
+    /** Two connect failures open the circuit breaker; after its open time it admits one probe. */
     @Test
-    void aDeadHostIsLeftAloneAndTriedAgain() {
-        Bed bed = bed().servers(2);
-        long dead = bed.openBreaker();
+    void deadHostIsAvoidedAndProbedLater() {
+        RouterHarness harness = harness().withServers(2);
+        long deadHostId = harness.openBreaker();
         for (int i = 10; i < 20; i++) {
-            assertNotEquals(dead, bed.request(i, Bed.READ, 5).server());
-            bed.outcome(i, 0, Reason.OK);
+            assertNotEquals(deadHostId, harness.submitRequest(i, RouterHarness.READ, 5).serverId());
+            harness.endAttempt(i, 0, Reason.OK);
         }
-        bed.pass(1500);
-        assertEquals(dead, bed.request(30, Bed.READ, 5).server());
-        assertNotEquals(dead, bed.request(31, Bed.READ, 5).server());
+        harness.advanceMs(1500);
+        assertEquals(deadHostId, harness.submitRequest(30, RouterHarness.READ, 5).serverId());
+        assertNotEquals(deadHostId, harness.submitRequest(31, RouterHarness.READ, 5).serverId());
     }
 
+    /** With all breakers open the router ignores them: otherwise no request could find out that hosts are back. */
     @Test
-    void whenAllHostsFailTheSetIsNotEmptied() {
-        Bed bed = bed().servers(3);
+    void requestIsSentEvenIfAllBreakersAreOpen() {
+        RouterHarness harness = harness().withServers(3);
         for (int i = 0; i < 20; i++) {
-            bed.request(i, Bed.READ, i);
-            for (int a = 0; a < 4; a++) {
-                bed.outcome(i, a, Reason.CONNECT_FAILED);
+            harness.submitRequest(i, RouterHarness.READ, i);
+            for (int attemptIndex = 0; attemptIndex < 4; attemptIndex++) {
+                harness.endAttempt(i, attemptIndex, Reason.CONNECT_FAILED);
             }
         }
-        assertNotNull(bed.request(100, Bed.READ, 5));
+        assertNotNull(harness.submitRequest(100, RouterHarness.READ, 5));
     }
 
+    /** A cold host starts with less than one token, so that none is eligible; the limits are then relaxed. */
     @Test
-    void aFleetOfColdHostsIsStillUsed() {
-        Bed bed = bed();
+    void requestsAreSentEvenIfAllHostsAreCold() {
+        RouterHarness harness = harness();
         List<Api.Server> list = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
-            list.add(Bed.server(i, Api.State.READY, bed.now));
+            list.add(RouterHarness.server(i, Api.State.READY, harness.now));
         }
-        bed.list(list);
+        harness.applyFullList(list);
         for (int i = 0; i < 8; i++) {
-            assertNotNull(bed.request(i, Bed.READ, i), "request " + i);
-            bed.outcome(i, 0, Reason.OK);
+            assertNotNull(harness.submitRequest(i, RouterHarness.READ, i), "request " + i);
+            harness.endAttempt(i, 0, Reason.OK);
         }
     }
 
     @Test
-    void aColdHostGetsAGrowingShareOfKeys() {
-        Bed bed = bed().servers(3);
-        bed.delta(Bed.server(4, Api.State.READY, bed.now));
-        int early = sentTo(bed, 4, 0);
-        bed.pass(4000);
-        int halfway = sentTo(bed, 4, 1000);
-        bed.pass(6000);
-        int warm = sentTo(bed, 4, 2000);
-        assertTrue(early < warm / 2, early + " of " + warm);
-        assertTrue(halfway > early && halfway < warm, early + ", " + halfway + ", " + warm);
+    void coldHostGetsAGrowingShareOfRequests() {
+        RouterHarness harness = harness().withServers(3);
+        harness.applyDelta(RouterHarness.server(4, Api.State.READY, harness.now));
+        int early = sendReadsAndCountThoseTo(harness, 4, 0);
+        harness.advanceMs(4000);
+        int halfway = sendReadsAndCountThoseTo(harness, 4, 1000);
+        harness.advanceMs(6000);
+        int warm = sendReadsAndCountThoseTo(harness, 4, 2000);
+        assertTrue(early < warm / 2, early + " reads while cold, reads when warm: " + warm);
+        assertTrue(halfway > early && halfway < warm,
+                early + " reads while cold, halfway " + halfway + ", warm " + warm);
     }
 
-    private static int sentTo(Bed bed, long server, int base) {
+    /** Sends 400 reads and returns how many of them go to a server. */
+    private static int sendReadsAndCountThoseTo(RouterHarness harness, long serverId, int firstId) {
         int count = 0;
         for (int i = 0; i < 400; i++) {
-            count += bed.request(base + i, Bed.READ, i).server() == server ? 1 : 0;
-            bed.pass(2);
-            bed.outcome(base + i, 0, Reason.OK);
+            count += harness.submitRequest(firstId + i, RouterHarness.READ, i).serverId() == serverId ? 1 : 0;
+            harness.advanceMs(2);
+            harness.endAttempt(firstId + i, 0, Reason.OK);
         }
         return count;
     }
 
+    /**
+     * The cold host's budget is a part of the rate of all requests. If all of them are for keys that the host would get
+     * when warm, it gets only that part, here 4 * 0.5 / 10 at most. The other harness, in which it is warm, tells
+     * which keys these are.
+     */
     @Test
-    void aBurstDoesNotSpendAColdHostsBudget() {
-        Bed warm = bed().servers(10);
-        Bed bed = bed().servers(9);
-        bed.delta(Bed.server(10, Api.State.READY, bed.now - 5_000 * Bed.MS));
-        int keys = 0;
-        int cold = 0;
+    void coldHostsBudgetHoldsIfAllRequestsAreForItsKeys() {
+        RouterHarness warmFleet = harness().withServers(10);
+        RouterHarness harness = harness().withServers(9);
+        harness.applyDelta(RouterHarness.server(10, Api.State.READY, harness.now - 5_000 * RouterHarness.MS));
+        int requestsForHost = 0;
+        int sentWhileCold = 0;
         for (int i = 0; i < 1500; i++) {
-            bed.pass(1);
-            boolean its = warm.request(i, Bed.READ, i).server() == 10;
-            warm.outcome(i, 0, Reason.OK);
-            if (its) {
-                keys++;
-                cold += bed.request(i, Bed.READ, i).server() == 10 ? 1 : 0;
-                bed.outcome(i, 0, Reason.OK);
+            harness.advanceMs(1);
+            boolean isForHost = warmFleet.submitRequest(i, RouterHarness.READ, i).serverId() == 10;
+            warmFleet.endAttempt(i, 0, Reason.OK);
+            if (isForHost) {
+                requestsForHost++;
+                sentWhileCold += harness.submitRequest(i, RouterHarness.READ, i).serverId() == 10 ? 1 : 0;
+                harness.endAttempt(i, 0, Reason.OK);
             }
         }
-        assertTrue(keys > 100 && cold > 0 && cold <= keys * 4 * 0.5 / 10 + 1, cold + " of " + keys);
+        assertTrue(requestsForHost > 100 && sentWhileCold > 0
+                && sentWhileCold <= requestsForHost * 4 * 0.5 / 10 + 1,
+                sentWhileCold + " sent to the cold host, of requests for its keys: " + requestsForHost);
     }
 
+    /** Tenant 0, whose allowance is 10 requests per second, sends more than that; tenant 1 stays within its own. */
     @Test
-    void trafficOverAShareIsShedFirstUnderPressure() {
-        Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
+    void trafficOverATenantsShareIsShedFirstUnderOverload() {
+        RouterHarness.SettingsBuilder builder = new RouterHarness.SettingsBuilder();
         builder.tenants = List.of(new Api.Tenant(10, 0.5), new Api.Tenant(1000, 0.5));
-        builder.overShareWorth = 0.05;
-        Bed bed = new Bed(builder).servers(4);
+        builder.overShareValue = 0.05;
+        RouterHarness harness = new RouterHarness(builder).withServers(4);
         for (int i = 0; i < 40; i++) {
-            bed.request(i, Bed.READ, i, 1, false);
+            harness.submitRequest(i, RouterHarness.READ, i, 1, false);
         }
         for (int i = 0; i < 5; i++) {
-            bed.outcome(i, 0, Reason.REJECTED);
-            bed.outcome(i, 1, Reason.REJECTED);
+            harness.endAttempt(i, 0, Reason.REJECTED);
+            harness.endAttempt(i, 1, Reason.REJECTED);
         }
         for (int i = 0; i < 120; i++) {
             if (i == 60) {
-                bed.refusals.clear();
+                harness.refusals.clear();
             }
-            bed.pass(2);
-            bed.request(1000 + i, Bed.READ, i, i % 2, false);
+            harness.advanceMs(2);
+            harness.submitRequest(1000 + i, RouterHarness.READ, i, i % 2, false);
         }
-        long over = bed.refusals.stream().filter(r -> r.request() % 2 == 0).count();
-        long within = bed.refusals.size() - over;
-        assertTrue(over >= 10 && within < over / 2, over + " over, " + within + " within");
+        long shedOverShare = harness.refusals.stream().filter(r -> r.requestId() % 2 == 0).count();
+        long shedWithinShare = harness.refusals.size() - shedOverShare;
+        assertTrue(shedOverShare >= 10 && shedWithinShare < shedOverShare / 2,
+                shedOverShare + " shed over the share, " + shedWithinShare + " shed within the share");
     }
 
+    /** Guards against calls of all instances to discovery at the same time; they keep to the order of their rank. */
     @Test
-    void instancesSubscribeOutOfStepAndAgainAfterAFailure() {
-        long last = 0;
+    void instancesSubscribeAtDifferentTimesAndAgainAfterAFailure() {
+        long previousWaitNs = 0;
         for (int rank = 0; rank < 4; rank++) {
-            Bed.SettingsBuilder builder = new Bed.SettingsBuilder();
-            builder.subscribe = true;
-            builder.instances = 4;
+            RouterHarness.SettingsBuilder builder = new RouterHarness.SettingsBuilder();
+            builder.mustSubscribe = true;
+            builder.instanceCount = 4;
             builder.rank = rank;
-            Bed bed = new Bed(builder);
-            bed.router.onServerList(bed.now, Api.ListMode.CACHED, List.of(Bed.server(1)));
-            assertEquals(1, bed.wakes.size());
-            long wait = bed.wakes.get(0).moment() - bed.now;
-            assertTrue(wait > last && wait < 10_000 * Bed.MS, "wait " + wait);
-            last = wait;
-            bed.pass(10_000);
-            assertEquals(1, bed.subscriptions);
-            bed.router.onServerList(bed.now, Api.ListMode.FAILED, List.of());
-            bed.pass(10_000);
-            assertEquals(2, bed.subscriptions);
-            assertNotNull(bed.request(1, Bed.READ, 5));
+            RouterHarness harness = new RouterHarness(builder);
+            harness.router.onServerList(harness.now, Api.ListMode.CACHED, List.of(RouterHarness.server(1)));
+            assertEquals(1, harness.pendingTimers.size());
+            long waitNs = harness.pendingTimers.get(0).dueAt() - harness.now;
+            assertTrue(waitNs > previousWaitNs && waitNs < 10_000 * RouterHarness.MS, "wait in ns: " + waitNs);
+            previousWaitNs = waitNs;
+            harness.advanceMs(10_000);
+            assertEquals(1, harness.subscribeCount);
+            harness.router.onServerList(harness.now, Api.ListMode.FAILED, List.of());
+            harness.advanceMs(10_000);
+            assertEquals(2, harness.subscribeCount);
+            assertNotNull(harness.submitRequest(1, RouterHarness.READ, 5));
         }
     }
 
     @Test
-    void aStartedStreamBelongsToTheClient() {
-        Bed bed = bed().servers(4);
-        bed.warmDigest(40);
-        bed.request(1, Bed.READ, 5);
-        bed.router.onFirstByte(bed.now, 1, 0);
-        bed.pass(900);
-        assertEquals(1, bed.sends.size());
-        assertFalse(bed.refused(1));
+    void readIsNotHedgedOnceItsAnswerIsStreaming() {
+        RouterHarness harness = harness().withServers(4);
+        harness.fillLatencyDigest(40);
+        harness.submitRequest(1, RouterHarness.READ, 5);
+        harness.router.onFirstByte(harness.now, 1, 0);
+        harness.advanceMs(900);
+        assertEquals(1, harness.sentAttempts.size());
+        assertFalse(harness.isRefused(1));
     }
 }
--- a/src/test/java/eiderscale/net/BalancerProcess.java
+++ b/src/test/java/eiderscale/net/BalancerProcess.java
@@ -14,48 +14,56 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** The program as a process of its own; everything it logs is kept. */
+/** Runs the balancer program as a child process and collects the lines that it logs. */
 final class BalancerProcess implements AutoCloseable {
+    /** Where the balancer listens for clients, on the loopback address. */
     final int port;
-    private final Path folder;
-    private final Rig rig;
+    private final Path directory;
+    private final BalancerFixture rig;
     private final Faults faults;
     private final List<String> log = new CopyOnWriteArrayList<>();
     private Process process;
-    private volatile boolean logEnded;
+    private volatile boolean isLogComplete;
 
-    /** {@code rig}: its hosts and settings; {@code faults}: null for none. */
-    BalancerProcess(Path folder, Rig rig, Faults faults) throws IOException {
-        this(folder, rig, faults, FreePort.take());
+    /**
+     * Listens on a free port. {@code directory}: where the configuration file is written; {@code rig}: supplies hosts
+     * and settings; {@code faults}: the faults to preload, null for none.
+     */
+    BalancerProcess(Path directory, BalancerFixture rig, Faults faults) throws IOException {
+        this(directory, rig, faults, FreePort.allocate());
     }
 
-    BalancerProcess(Path folder, Rig rig, Faults faults, int port) {
-        this.folder = folder;
+    BalancerProcess(Path directory, BalancerFixture rig, Faults faults, int port) {
+        this.directory = directory;
         this.rig = rig;
         this.faults = faults;
         this.port = port;
     }
 
     Path configFile() {
-        return folder.resolve("config.json");
+        return directory.resolve("config.json");
     }
 
     String config() {
-        return rig.config("127.0.0.1:" + port);
+        return rig.configJson("127.0.0.1:" + port);
     }
 
+    /** Writes the configuration file and starts the process, without waiting until it serves. */
     BalancerProcess start() throws IOException {
         Files.writeString(configFile(), config());
-        return startWith(configFile().toString());
+        return startWithConfig(configFile().toString());
     }
 
-    /** Starts it on a file that the caller has written, or not; null for no word of a file. */
-    BalancerProcess startWith(String config) throws IOException {
+    /**
+     * Starts the process with {@code GW_CONFIG} set to {@code configPath}, which need not exist; if that is null,
+     * {@code GW_CONFIG} is not set.
+     */
+    BalancerProcess startWithConfig(String configPath) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "@deploy/jvm.options", "-cp", System.getProperty("java.class.path"), "eiderscale.net.Main");
         builder.environment().remove("GW_CONFIG");
-        if (config != null) {
-            builder.environment().put("GW_CONFIG", config);
+        if (configPath != null) {
+            builder.environment().put("GW_CONFIG", configPath);
         }
         if (faults != null) {
             faults.install(builder.environment());
@@ -73,60 +81,68 @@
                 log.add(line);
             }
         } catch (IOException e) {
-            // The process was ended by force.
+            // The process was killed.
         }
-        logEnded = true;
+        isLogComplete = true;
     }
 
-    BalancerProcess startAndServe() throws IOException, InterruptedException {
+    /** Starts the process and waits until it accepts clients. */
+    BalancerProcess startAndAwaitServing() throws IOException, InterruptedException {
         start();
-        awaitLine("serves on");
+        awaitLogLine("serves on");
         return this;
     }
 
+    /** Whether a line that contains {@code part} has been logged. */
     boolean hasLogged(String part) {
         return log.stream().anyMatch(line -> line.contains(part));
     }
 
+    /** The lines logged so far. */
     List<String> log() {
         return log;
     }
 
-    void awaitLine(String part) throws InterruptedException {
-        Waiting.until(() -> hasLogged(part) || logEnded, "the line: " + part);
-        assertTrue(hasLogged(part), "the log ended before: " + part + " " + log);
+    /** Waits until a line that contains {@code part} has been logged; fails if the log ends without one. */
+    void awaitLogLine(String part) throws InterruptedException {
+        Await.until(() -> hasLogged(part) || isLogComplete, "a log line containing: " + part);
+        assertTrue(hasLogged(part), "the log ended without: " + part + " " + log);
     }
 
-    Peer client() throws IOException {
-        return new Peer(new Socket(InetAddress.getLoopbackAddress(), port));
+    /** Opens a client connection. */
+    LineSocket connectClient() throws IOException {
+        return new LineSocket(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    void signal(String name) throws IOException, InterruptedException {
+    /** Sends a signal; {@code name} as for {@code kill}, without "SIG". */
+    void sendSignal(String name) throws IOException, InterruptedException {
         assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
     }
 
-    /** Replaces the configuration and tells the process. */
+    /** Rewrites the configuration file with the current settings and sends SIGHUP. */
     void reload() throws IOException, InterruptedException {
         Files.writeString(configFile(), config());
-        signal("HUP");
+        sendSignal("HUP");
     }
 
-    int descriptors() {
-        String[] names = Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
-        return names == null ? 0 : names.length;
+    /** The number of open file descriptors; 0 if the process has ended. */
+    int openDescriptorCount() {
+        String[] descriptors = Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
+        return descriptors == null ? 0 : descriptors.length;
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Waits for the end, and for the last line of the log. */
-    int exit() throws InterruptedException {
-        assertTrue(process.waitFor(Peer.LIMIT_MS, TimeUnit.MILLISECONDS), "it does not end");
-        Waiting.until(() -> logEnded, "the end of the log");
+    /** Waits until the process has ended and its log was read completely; returns the exit code. */
+    int awaitExit() throws InterruptedException {
+        assertTrue(process.waitFor(LineSocket.TIMEOUT_MS, TimeUnit.MILLISECONDS), "the process did not exit");
+        Await.until(() -> isLogComplete, "the end of the log");
         return process.exitValue();
     }
 
+    /** Kills the process with SIGKILL. */
     @Override
     public void close() {
         if (process != null) {
--- a/src/test/java/eiderscale/net/ConnectionFaultsTest.java
+++ b/src/test/java/eiderscale/net/ConnectionFaultsTest.java
@@ -10,156 +10,162 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reads and writes that fail for a moment on connections that are not broken. */
-class ConnectionFaultsTest extends ProcessUnderFaults {
+/**
+ * Guards against system calls on connections that fail although the connection is intact, such as for lack of memory:
+ * read, write and close errors must not lose requests or replies, hide a disconnect, or change deadlines.
+ *
+ * <p>Numbers of the errors in the parameters: 4 EINTR, 12 ENOMEM, 105 ENOBUFS, 110 ETIMEDOUT, 113 EHOSTUNREACH.
+ */
+class ConnectionFaultsTest extends FaultInjectionTestBase {
     @ParameterizedTest
     @CsvSource({"12,1", "105,1", "110,1", "113,1", "12,10", "110,10"})
-    void aReadThatFailsForAMomentDoesNotEndAClientsConnection(int error, int count) throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("MN", client.ask("mn"));
+    void transientReadErrorsDoNotCloseAClientConnection(int error, int count) throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("MN", client.request("mn"));
             faults.fail(Call.READ, error, count, process.port);
-            client.limit(400 + LOST_AFTER_MS);
-            assertEquals("VA 16 O1", client.ask(SHORT_READ));
-            assertEquals(count, faults.failed(Call.READ));
+            client.setReadTimeout(400 + REPLY_GRACE_MS);
+            assertEquals("VA 16 O1", client.request(READ_WITH_SHORT_TIMEOUT));
+            assertEquals(count, faults.failureCount(Call.READ));
         }
     }
 
     @ParameterizedTest
     @CsvSource({"12,1", "105,1", "110,1", "113,1", "105,10"})
-    void aWriteThatFailsForAMomentDoesNotLoseAnAnswer(int error, int count) throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("MN", client.ask("mn"));
+    void transientWriteErrorsDoNotLoseAReply(int error, int count) throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("MN", client.request("mn"));
             faults.fail(Call.WRITE, error, count, process.port);
-            client.limit(400 + LOST_AFTER_MS);
-            assertEquals("VA 16 O1", client.ask(SHORT_READ));
-            assertEquals("7f3a9c21e0b4d655", client.data(16));
-            assertEquals(count, faults.failed(Call.WRITE));
+            client.setReadTimeout(400 + REPLY_GRACE_MS);
+            assertEquals("VA 16 O1", client.request(READ_WITH_SHORT_TIMEOUT));
+            assertEquals("7f3a9c21e0b4d655", client.readData(16));
+            assertEquals(count, faults.failureCount(Call.WRITE));
         }
     }
 
-    /** A write that may have run is not repeated: its answer is worth waiting for. */
+    /** A write that may have run must not be repeated, so its response must not be lost. */
     @Test
-    void aReadThatFailsOnceDoesNotFailAWriteWhoseAnswerFollows() throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
+    void transientReadErrorOnAHostConnectionDoesNotFailAWrite() throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
             faults.fail(Call.READ, Faults.ETIMEDOUT, 1, hostPort());
-            assertEquals("HD O2 c77", client.ask(Rig.COPY));
-            assertEquals(1, faults.failed(Call.READ));
+            assertEquals("HD O2 c77", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE));
+            assertEquals(1, faults.failureCount(Call.READ));
         }
     }
 
-    /** Reading fails for good on every connection: each is given up, and the balancer serves on afterwards. */
+    /** All reads on client connections fail for a long time: the connections are closed, and service then continues. */
     @Test
-    void connectionsWhoseReadsFailForGoodAreGivenUp() throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("MN", client.ask("mn"));
-            faults.fail(Call.READ, Faults.EHOSTUNREACH, Faults.ENDLESS, process.port);
-            client.write(SHORT_READ + "\r\n");
-            client.awaitEnd();
-            faults.heal(Call.READ);
+    void connectionsWithPersistentReadErrorsAreClosed() throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("MN", client.request("mn"));
+            faults.fail(Call.READ, Faults.EHOSTUNREACH, Faults.UNLIMITED, process.port);
+            client.write(READ_WITH_SHORT_TIMEOUT + "\r\n");
+            client.awaitPeerClose();
+            faults.clear(Call.READ);
         }
-        try (Peer client = process.client()) {
-            Waiting.until(() -> served(client), "service after the failures");
+        try (LineSocket client = process.connectClient()) {
+            Await.until(() -> isServed(client), "service to continue after the failures");
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {Faults.ETIMEDOUT, Faults.ENOBUFS})
-    void aFailedReadDoesNotHideThatAClientHasLeft(int error) throws Exception {
+    void clientDisconnectIsDetectedDespiteReadErrors(int error) throws Exception {
+        // A host that never responds replaces the usual one, which then only records commands and closed connections.
         rig.hosts.remove(host);
-        try (FakeHost silent = new FakeHost(peer -> {
-            while (host.next(peer) != null) {
-                assertTrue(peer.line() == null);
+        try (FakeHost unresponsive = new FakeHost(connection -> {
+            while (host.readCommand(connection) != null) {
+                assertTrue(connection.readLine() == null);
             }
-            host.ends.add("end");
+            host.closedConnections.add("end");
         })) {
-            rig.hosts.add(silent);
-            process.startAndServe();
-            try (Peer client = process.client()) {
-                assertEquals("MN", client.ask("mn"));
-                client.write(Rig.READ + "\r\n");
-                host.command();
+            rig.hosts.add(unresponsive);
+            process.startAndAwaitServing();
+            try (LineSocket client = process.connectClient()) {
+                assertEquals("MN", client.request("mn"));
+                client.write(BalancerFixture.READ + "\r\n");
+                host.awaitCommand();
                 faults.fail(Call.READ, error, 5, process.port);
                 client.reset();
-                assertEquals("end", host.awaitEnd());
+                assertEquals("end", host.awaitConnectionClosed());
             }
         }
     }
 
-    /** A connection to the host is free, so that a request could be written to it in the moment in which it is read. */
+    /** An idle host connection exists, so that the request could be forwarded as soon as it is read. */
     @ParameterizedTest
     @ValueSource(ints = {Faults.ENOMEM, Faults.EINTR})
-    void nothingIsBegunForAClientThatLeftWhileItsRequestCouldNotBeRead(int error) throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("VA 16 O1", client.ask(SHORT_READ));
-            client.data(16);
-            assertTrue(host.command().contains("O1 "));
-            try (Peer left = process.client()) {
-                assertEquals("MN", left.ask("mn"));
-                faults.fail(Call.READ, error, Faults.ENDLESS, process.port);
-                left.write(Rig.PUT + "\r\n");
-                faults.awaitFailed(Call.READ, 4);
+    void requestReadAfterItsClientDisconnectedIsNotForwarded(int error) throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("VA 16 O1", client.request(READ_WITH_SHORT_TIMEOUT));
+            client.readData(16);
+            assertTrue(host.awaitCommand().contains("O1 "));
+            try (LineSocket disconnected = process.connectClient()) {
+                assertEquals("MN", disconnected.request("mn"));
+                faults.fail(Call.READ, error, Faults.UNLIMITED, process.port);
+                disconnected.write(BalancerFixture.DEDUPLICATED_WRITE + "\r\n");
+                faults.awaitFailureCount(Call.READ, 4);
             }
-            faults.heal(Call.READ);
-            assertEquals("MN", client.ask("mn"));
-            assertEquals("VA 16 O1", client.ask(SHORT_READ));
+            faults.clear(Call.READ);
+            assertEquals("MN", client.request("mn"));
+            assertEquals("VA 16 O1", client.request(READ_WITH_SHORT_TIMEOUT));
         }
-        assertTrue(host.command().contains("O1 "), "the request of the client that left was forwarded");
+        assertTrue(host.awaitCommand().contains("O1 "), "the request of the disconnected client was forwarded");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {Faults.ENOMEM, Faults.EINTR})
-    void theTimeThatARequestCouldNotBeReadIsTakenOffItsDeadline(int error) throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("MN", client.ask("mn"));
-            faults.fail(Call.READ, error, Faults.ENDLESS, process.port);
-            long begun = System.nanoTime();
-            client.write(Rig.READ + "\r\n");
-            Waiting.until(() -> System.nanoTime() - begun > 600 * Clock.MILLISECOND, "a while");
-            faults.heal(Call.READ);
-            int told = Integer.parseInt(host.command().replaceAll(".*d=([0-9]+).*", "$1"));
-            assertTrue(told <= 4_400 + 150, "told " + told);
-            assertEquals("VA 16 O1", client.line());
+    void timeLostToReadErrorsIsDeductedFromTheDeadline(int error) throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("MN", client.request("mn"));
+            faults.fail(Call.READ, error, Faults.UNLIMITED, process.port);
+            long startedAt = System.nanoTime();
+            client.write(BalancerFixture.READ + "\r\n");
+            Await.until(() -> System.nanoTime() - startedAt > 600 * Clock.MILLISECOND, "600 ms to pass");
+            faults.clear(Call.READ);
+            int forwardedMs = Integer.parseInt(host.awaitCommand().replaceAll(".*d=([0-9]+).*", "$1"));
+            assertTrue(forwardedMs <= 4_400 + 150, "forwarded with d=" + forwardedMs);
+            assertEquals("VA 16 O1", client.readLine());
         }
     }
 
-    /** What fails there is the look for more behind a request: nothing waits to be read then. */
+    /** The read that fails is the one that looks for more input after a request, when there is none. */
     @ParameterizedTest
     @CsvSource({"12,2", "12,60", "4,9"})
-    void aReadThatFailedBehindARequestTakesNothingOffTheNextOnesDeadline(int error, int count) throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("MN", client.ask("mn"));
+    void readErrorsWithNoInputWaitingDoNotShortenTheNextDeadline(int error, int count) throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("MN", client.request("mn"));
             faults.failAfter(1, Call.READ, error, count, process.port);
-            assertEquals("MN", client.ask("mn"));
-            faults.awaitFailed(Call.READ, count);
-            long begun = System.nanoTime();
-            Waiting.until(() -> System.nanoTime() - begun > 600 * Clock.MILLISECOND, "a while");
-            assertEquals("VA 16 O1", client.ask(SHORT_READ));
+            assertEquals("MN", client.request("mn"));
+            faults.awaitFailureCount(Call.READ, count);
+            long startedAt = System.nanoTime();
+            Await.until(() -> System.nanoTime() - startedAt > 600 * Clock.MILLISECOND, "600 ms to pass");
+            assertEquals("VA 16 O1", client.request(READ_WITH_SHORT_TIMEOUT));
         }
     }
 
-    /** The descriptor is closed all the same; the event loop must not take the failure for one of its own. */
+    /** The descriptor is closed despite the error, which must not be taken for a failure of the event loop itself. */
     @ParameterizedTest
     @ValueSource(ints = {Faults.EINTR, Faults.EIO})
-    void aCloseThatFailsHoldsUpNoOtherRequest(int error) throws Exception {
-        process.startAndServe();
-        try (Peer client = process.client()) {
-            assertEquals("MN", client.ask("mn"));
+    void failedCloseDoesNotDelayOtherRequests(int error) throws Exception {
+        process.startAndAwaitServing();
+        try (LineSocket client = process.connectClient()) {
+            assertEquals("MN", client.request("mn"));
             for (int i = 1; i <= 5; i++) {
-                try (Peer leaving = process.client()) {
-                    assertEquals("MN", leaving.ask("mn"));
+                try (LineSocket disconnecting = process.connectClient()) {
+                    assertEquals("MN", disconnecting.request("mn"));
                     faults.fail(Call.CLOSE, error, 1, process.port);
                 }
-                faults.awaitFailed(Call.CLOSE, i);
-                client.limit(400 + LOST_AFTER_MS);
-                assertEquals("VA 16 O1", client.ask(SHORT_READ));
-                client.data(16);
+                faults.awaitFailureCount(Call.CLOSE, i);
+                client.setReadTimeout(400 + REPLY_GRACE_MS);
+                assertEquals("VA 16 O1", client.request(READ_WITH_SHORT_TIMEOUT));
+                client.readData(16);
             }
         }
         assertFalse(process.hasLogged("xception"), () -> process.log().toString());
--- a/src/test/java/eiderscale/net/CrossingsTest.java
+++ b/src/test/java/eiderscale/net/CrossingsTest.java
@@ -13,292 +13,328 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Two events that cross: peers withhold, split or send too much at once, so that each order is forced. */
+/**
+ * Tests races between two events: a client's disconnect and its commands, a stop and open requests, a second response
+ * and the next request, a new host list and connections. Clients and hosts withhold, split or batch what they send so
+ * that each order of the events is forced.
+ */
 class CrossingsTest {
-    private static final String FRAGILE = "ms 1 1 O%s Pc=copy,t=acme,d=%d\r\nx\r\n";
-    private static final int LONG_MS = 60_000;
-    /** Commands of some 40 bytes: several times what is held back of a connection. */
-    private static final int MANY = 20_000;
-
-    private static String fragile(String id, int waitMs) {
-        return String.format(FRAGILE, id, waitMs);
+    /** A command with an opaque and a timeout, of a request class that must not run twice. */
+    private static final String NON_IDEMPOTENT_WRITE = "ms 1 1 O%s Pc=copy,t=acme,d=%d\r\nx\r\n";
+    private static final int LONG_TIMEOUT_MS = 60_000;
+    /** A number of commands of some 40 bytes: several times the input that is buffered per connection. */
+    private static final int OVERSIZED_PIPELINE = 20_000;
+
+    /** One such command. */
+    private static String nonIdempotentWrites(String opaque, int timeoutMs) {
+        return String.format(NON_IDEMPOTENT_WRITE, opaque, timeoutMs);
     }
 
-    private static void list(Rig rig, String... targets) throws Exception {
+    /** Applies a change of the host list that concerns these hosts only. */
+    private static void applyListDelta(BalancerFixture rig, String... targets) throws Exception {
         String json = "{\"rev\":8,\"all\":false,\"targets\":[" + String.join(",", targets) + "]}";
-        HostList catalog = HostList.parse(Json.parse(json.getBytes()), rig.site());
-        rig.loop.submit(() -> rig.node.onHostList(Api.ListMode.DELTA, catalog.members())).get();
+        HostList catalog = HostList.parse(Json.parse(json.getBytes()), rig.siteSettings());
+        rig.eventLoop.submit(() -> rig.node.onHostList(Api.ListMode.DELTA, catalog.members())).get();
     }
 
-    // The end of a client's connection.
+    // The end of a client connection.
 
-    /** The first refusal ended a surplus connection, and the command behind it was dropped unanswered. */
+    /**
+     * Guards against closing a connection above the connection limit after its first refusal while another command,
+     * received with the first, is unanswered.
+     */
     @Test
-    void twoCommandsInOneSegmentAreBothAnsweredWhereThereIsNoRoom() throws Exception {
-        List<Peer> peers = new ArrayList<>();
-        try (Rig rig = new Rig(FakeHost.answering(c -> null))) {
-            rig.sockets = 64;
+    void pipelinedCommandsOnAnOverLimitConnectionAreAllRefused() throws Exception {
+        List<LineSocket> peers = new ArrayList<>();
+        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> null))) {
+            rig.maxSockets = 64;
             rig.start();
             for (int i = 0; i < 21; i++) {
-                peers.add(rig.client());
-                assertEquals("MN", peers.get(i).ask("mn"));
+                peers.add(rig.connectClient());
+                assertEquals("MN", peers.get(i).request("mn"));
             }
-            try (Peer surplus = rig.client()) {
-                surplus.write(fragile("1", 9_000) + fragile("2", 9_000));
-                assertEquals("SERVER_ERROR busy", surplus.line());
-                assertEquals("SERVER_ERROR busy", surplus.line());
-                assertNull(surplus.line());
+            try (LineSocket overLimit = rig.connectClient()) {
+                overLimit.write(nonIdempotentWrites("1", 9_000) + nonIdempotentWrites("2", 9_000));
+                assertEquals("SERVER_ERROR busy", overLimit.readLine());
+                assertEquals("SERVER_ERROR busy", overLimit.readLine());
+                assertNull(overLimit.readLine());
             }
         } finally {
-            for (Peer peer : peers) {
+            for (LineSocket peer : peers) {
                 peer.close();
             }
         }
     }
 
-    /** A close with bytes left unread is a reset, which destroyed what was still on its way to the client. */
+    /** Closing a socket with unread input sends a reset, which can destroy a reply that is still in transit. */
     @Test
-    void bytesThatCrossOurEndDoNotDestroyTheAnswerOnItsWay() throws Exception {
+    void inputAfterOurFinDoesNotDestroyTheReplyInTransit() throws Exception {
         String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
-        try (Rig rig = new Rig(FakeHost.answering(c -> FakeHost.value(c, value))).start();
-                Peer client = rig.slowClient()) {
-            client.write(Rig.READ + "\r\nquit\r\n");
-            rig.hosts.get(0).command();
-            ServingTest.awaitGauge(rig, "open 0 ");
+        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> FakeHost.valueResponse(c, value))).start();
+                LineSocket client = rig.connectClientWithSmallBuffer()) {
+            client.write(BalancerFixture.READ + "\r\nquit\r\n");
+            rig.hosts.get(0).awaitCommand();
+            ServingTest.awaitGauges(rig, "open 0 ");
             for (int i = 0; i < 20; i++) {
                 client.write("mg crossing\r\n");
             }
-            assertEquals("VA 65536 O1", client.line());
-            assertEquals(value, client.data(value.length()));
-            assertNull(client.line());
+            assertEquals("VA 65536 O1", client.readLine());
+            assertEquals(value, client.readData(value.length()));
+            assertNull(client.readLine());
         }
     }
 
-    /** With 64 requests open nothing was read any more, and so the client's end went unseen. */
+    /** Guards against no longer reading a connection with 64 open requests, which leaves a disconnect undetected. */
     @Test
-    void aClientsEndIsSeenBehindMoreRequestsThanMayBeOpen() throws Exception {
-        assertEndIsSeenBehind(100);
+    void aDisconnectIsDetectedBehindAFullPipeline() throws Exception {
+        assertDisconnectDetectedBehind(100);
     }
 
-    /** Past 32 KiB held back nothing was read any more, and what was open went on for a client that had left. */
+    /**
+     * Guards against no longer reading a connection with more than 32 KiB of buffered input: its open requests would
+     * continue although the client has disconnected.
+     */
     @Test
-    void aClientsEndIsSeenBehindFarMoreThanIsHeldBack() throws Exception {
-        assertEndIsSeenBehind(MANY);
+    void aDisconnectIsDetectedBehindMoreInputThanIsBuffered() throws Exception {
+        assertDisconnectDetectedBehind(OVERSIZED_PIPELINE);
     }
 
-    private static void assertEndIsSeenBehind(int commands) throws Exception {
-        try (Rig rig = new Rig(FakeHost.answering(c -> null))) {
-            rig.deadlineMs = LONG_MS;
+    private static void assertDisconnectDetectedBehind(int commands) throws Exception {
+        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> null))) {
+            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
             rig.start();
-            try (Peer client = rig.client()) {
-                client.write(fragile(commands, LONG_MS));
-                ServingTest.awaitGauge(rig, "open 64 ");
+            try (LineSocket client = rig.connectClient()) {
+                client.write(nonIdempotentWrites(commands, LONG_TIMEOUT_MS));
+                ServingTest.awaitGauges(rig, "open 64 ");
             }
-            ServingTest.awaitGauge(rig, "open 0 ");
-            ServingTest.awaitGauge(rig, "clients 0 ");
-            assertTrue(rig.hosts.get(0).commands.size() <= 64, "what was held back is not sent");
+            ServingTest.awaitGauges(rig, "open 0 ");
+            ServingTest.awaitGauges(rig, "clients 0 ");
+            assertTrue(rig.hosts.get(0).receivedCommands.size() <= 64, "buffered commands must not be sent");
         }
     }
 
+    /**
+     * The client sends far more commands than may be open or buffered. Guards against replies in another order than the
+     * commands, and against closing the connection.
+     */
     @Test
-    void whatCannotBeHeldBackIsRefusedInItsTurn() throws Exception {
+    void commandsBeyondTheBufferLimitAreRefusedInOrder() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        FakeHost host = FakeHost.answering(command -> FakeHost.servedAfter(release, command));
-        try (Rig rig = new Rig(host)) {
-            rig.deadlineMs = LONG_MS;
+        FakeHost host = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
+        try (BalancerFixture rig = new BalancerFixture(host)) {
+            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
             rig.start();
-            try (Peer client = rig.client()) {
-                client.write(fragile(MANY, LONG_MS));
-                while (shed(rig) == 0) {
+            try (LineSocket client = rig.connectClient()) {
+                client.write(nonIdempotentWrites(OVERSIZED_PIPELINE, LONG_TIMEOUT_MS));
+                while (rejectedCommandCount(rig) == 0) {
                     Thread.onSpinWait();
                 }
                 release.countDown();
-                int next = 0;
+                int served = 0;
                 int refused = 0;
-                for (int i = 0; i < MANY; i++) {
-                    String answer = client.line();
-                    if (answer.equals("SERVER_ERROR busy")) {
+                for (int i = 0; i < OVERSIZED_PIPELINE; i++) {
+                    String reply = client.readLine();
+                    if (reply.equals("SERVER_ERROR busy")) {
                         refused++;
                     } else {
-                        assertTrue(Integer.parseInt(answer.substring(4, answer.indexOf(' ', 4))) == i,
-                                "the answer to command " + i + ": " + answer);
-                        next++;
+                        assertTrue(Integer.parseInt(reply.substring(4, reply.indexOf(' ', 4))) == i,
+                                "the reply to command " + i + ": " + reply);
+                        served++;
                     }
                 }
-                assertTrue(next >= 64 && refused > 0, next + " served, " + refused + " refused");
-                assertEquals("HD O2 c77", client.ask(Rig.COPY), "the client goes on");
+                assertTrue(served >= 64 && refused > 0, served + " served, " + refused + " refused");
+                assertEquals("HD O2 c77", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE), "the connection still works");
             }
         }
     }
 
-    private static long shed(Rig rig) throws Exception {
-        String gauges = rig.loop.submit(rig.node::gauges).get();
+    /** The number of commands rejected so far because the limits on buffered input were exceeded. */
+    private static long rejectedCommandCount(BalancerFixture rig) throws Exception {
+        String gauges = rig.eventLoop.submit(rig.node::gauges).get();
         return Long.parseLong(gauges.replaceAll(".* shed (\\d+) .*", "$1"));
     }
 
-    private static String fragile(int many, int waitMs) {
+    /** Several such commands, whose opaques are the numbers from 0. */
+    private static String nonIdempotentWrites(int count, int timeoutMs) {
         StringBuilder commands = new StringBuilder();
-        for (int i = 0; i < many; i++) {
-            commands.append(fragile(Integer.toString(i), waitMs));
+        for (int i = 0; i < count; i++) {
+            commands.append(nonIdempotentWrites(Integer.toString(i), timeoutMs));
         }
         return commands.toString();
     }
 
-    /** A late loop read a command whose client had long left, and began an attempt before it met the end behind it. */
+    /**
+     * A delayed event loop reads a command together with the end of the stream behind it. Guards against sending an
+     * attempt before the end of the stream is seen.
+     */
     @Test
-    void nothingIsBegunForAClientWhoseEndWasReadWithItsCommand() throws Exception {
-        try (Rig rig = new Rig(FakeHost.serving()).start()) {
-            CountDownLatch late = new CountDownLatch(1);
-            try (Peer client = rig.client(); Peer other = rig.client()) {
-                assertEquals("MN", client.ask("mn"));
-                assertEquals("MN", other.ask("mn"));
-                rig.loop.execute(() -> {
+    void noAttemptIsSentIfTheEndOfStreamIsReadWithTheCommand() throws Exception {
+        try (BalancerFixture rig = new BalancerFixture(FakeHost.serving()).start()) {
+            CountDownLatch resumeLoop = new CountDownLatch(1);
+            try (LineSocket client = rig.connectClient(); LineSocket other = rig.connectClient()) {
+                assertEquals("MN", client.request("mn"));
+                assertEquals("MN", other.request("mn"));
+                rig.eventLoop.execute(() -> {
                     try {
-                        late.await();
+                        resumeLoop.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                client.write(fragile("gone", 5_000)).leave();
-                late.countDown();
-                assertEquals("HD O2 c77", other.ask(Rig.COPY));
+                client.write(nonIdempotentWrites("gone", 5_000)).disconnect();
+                resumeLoop.countDown();
+                assertEquals("HD O2 c77", other.request(BalancerFixture.NON_IDEMPOTENT_WRITE));
             }
-            assertTrue(rig.hosts.get(0).command().contains(" O2 "), "the first command that a host got");
-            assertTrue(rig.hosts.get(0).commands.isEmpty(), "and the only one");
+            assertTrue(rig.hosts.get(0).awaitCommand().contains(" O2 "), "the first command that the host received");
+            assertTrue(rig.hosts.get(0).receivedCommands.isEmpty(), "the host must receive no other command");
         }
     }
 
+    /** Of 100 commands 64 may be open: the others, and the "quit" behind them, must be processed later. */
     @Test
-    void whatWasHeldBackIsAnsweredWhenThereIsRoom() throws Exception {
+    void bufferedCommandsAreServedOnceEarlierOnesComplete() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        FakeHost host = FakeHost.answering(command -> FakeHost.servedAfter(release, command));
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
-            client.write(fragile(100, 9_000) + "quit\r\n");
-            ServingTest.awaitGauge(rig, "open 64 ");
+        FakeHost host = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
+        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+            client.write(nonIdempotentWrites(100, 9_000) + "quit\r\n");
+            ServingTest.awaitGauges(rig, "open 64 ");
             release.countDown();
             for (int i = 0; i < 100; i++) {
-                assertEquals("HD O" + i + " c77", client.line());
+                assertEquals("HD O" + i + " c77", client.readLine());
             }
-            assertNull(client.line());
+            assertNull(client.readLine());
         }
     }
 
-    // A stop.
+    // Stopping the balancer.
 
-    /** SIGKILL comes soon after the longest deadline, counted as 3 s where it is longer. */
+    /**
+     * A stop waits for open requests until the longest timeout, but at most 3 s, as the process is killed soon after.
+     * Then it has to answer them itself.
+     */
     @Test
-    void aStopSettlesWhatIsOpenAndTakesNothingNewMeanwhile() throws Exception {
-        try (Rig rig = new Rig(FakeHost.answering(c -> null))) {
-            rig.deadlineMs = LONG_MS;
+    void aStopAnswersOpenRequestsAndRefusesNewOnes() throws Exception {
+        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> null))) {
+            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
             rig.start();
-            try (Peer client = rig.client()) {
-                client.write(fragile("1", LONG_MS));
-                rig.hosts.get(0).command();
-                Future<?> stopped = rig.loop.submit(rig.node::stop).get();
-                awaitRefusal(rig);
-                client.write(fragile("2", LONG_MS) + fragile("3", LONG_MS));
-                assertEquals("SERVER_ERROR failed", client.line(), "it may have run");
-                assertEquals("SERVER_ERROR busy", client.line());
-                assertEquals("SERVER_ERROR busy", client.line());
-                assertNull(client.line());
-                client.leave();
-                assertTrue(stopped.await(Peer.LIMIT_MS));
-                assertEquals(0, rig.hosts.get(0).commands.size(), "nothing else was sent");
+            try (LineSocket client = rig.connectClient()) {
+                client.write(nonIdempotentWrites("1", LONG_TIMEOUT_MS));
+                rig.hosts.get(0).awaitCommand();
+                Future<?> stopped = rig.eventLoop.submit(rig.node::stop).get();
+                awaitConnectionRefused(rig);
+                client.write(nonIdempotentWrites("2", LONG_TIMEOUT_MS) + nonIdempotentWrites("3", LONG_TIMEOUT_MS));
+                assertEquals("SERVER_ERROR failed", client.readLine(), "the request may have run");
+                assertEquals("SERVER_ERROR busy", client.readLine());
+                assertEquals("SERVER_ERROR busy", client.readLine());
+                assertNull(client.readLine());
+                client.disconnect();
+                assertTrue(stopped.await(LineSocket.TIMEOUT_MS));
+                assertEquals(0, rig.hosts.get(0).receivedCommands.size(), "no other command may be sent");
             }
         }
     }
 
-    /** All 64 open requests can end at once, when the first in line does, with more commands held back. */
+    /**
+     * Replies are sent in order, so all 64 open requests can complete at once, when the first one does. The commands
+     * buffered behind them must then be refused before the connection is closed.
+     */
     @Test
-    void aStopAnswersWhatWasHeldBackBehindOpenRequests() throws Exception {
+    void aStopRefusesCommandsBufferedBehindOpenRequests() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        FakeHost host = FakeHost.answering(command -> command.contains(" O0 ")
-                ? FakeHost.servedAfter(release, command) : FakeHost.served(command));
-        try (Rig rig = new Rig(host)) {
-            rig.deadlineMs = LONG_MS;
+        FakeHost host = FakeHost.responding(command -> command.contains(" O0 ")
+                ? FakeHost.responseAfter(release, command) : FakeHost.responseTo(command));
+        try (BalancerFixture rig = new BalancerFixture(host)) {
+            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
             rig.start();
-            try (Peer client = rig.client()) {
-                client.write(fragile(100, LONG_MS));
-                ServingTest.awaitGauge(rig, "open 1 ");
-                rig.loop.submit(rig.node::stop).get();
-                awaitRefusal(rig);
+            try (LineSocket client = rig.connectClient()) {
+                client.write(nonIdempotentWrites(100, LONG_TIMEOUT_MS));
+                ServingTest.awaitGauges(rig, "open 1 ");
+                rig.eventLoop.submit(rig.node::stop).get();
+                awaitConnectionRefused(rig);
                 release.countDown();
                 for (int i = 0; i < 64; i++) {
-                    assertEquals("HD O" + i + " c77", client.line());
+                    assertEquals("HD O" + i + " c77", client.readLine());
                 }
                 for (int i = 64; i < 100; i++) {
-                    assertEquals("SERVER_ERROR busy", client.line());
+                    assertEquals("SERVER_ERROR busy", client.readLine());
                 }
-                assertNull(client.line());
+                assertNull(client.readLine());
             }
         }
     }
 
-    private static void awaitRefusal(Rig rig) throws InterruptedException {
-        long end = System.nanoTime() + Peer.LIMIT_MS * 1_000_000L;
-        while (System.nanoTime() < end) {
+    /** Waits until the balancer no longer listens. */
+    private static void awaitConnectionRefused(BalancerFixture rig) throws InterruptedException {
+        long deadline = System.nanoTime() + LineSocket.TIMEOUT_MS * 1_000_000L;
+        while (System.nanoTime() < deadline) {
             try {
-                rig.client().close();
+                rig.connectClient().close();
                 Thread.sleep(2);
             } catch (IOException e) {
                 return;
             }
         }
-        throw new AssertionError("it goes on listening");
+        throw new AssertionError("the balancer still accepts connections");
     }
 
-    // More answers than were asked for.
+    // Unsolicited responses of a cache host.
 
-    private static FakeHost script(FakeHost.Script... scripts) throws IOException {
+    /** A host that runs the n-th script on its n-th connection, and the last one on all further connections. */
+    private static FakeHost scriptedHost(FakeHost.ConnectionScript... scripts) throws IOException {
         FakeHost[] self = new FakeHost[1];
         self[0] = new FakeHost(peer -> {
-            int number = self[0].connections.get() - 1;
-            scripts[Math.min(number, scripts.length - 1)].run(peer);
-            peer.awaitEnd();
-            self[0].ends.add("end");
+            int index = self[0].connectionCount.get() - 1;
+            scripts[Math.min(index, scripts.length - 1)].run(peer);
+            peer.awaitPeerClose();
+            self[0].closedConnections.add("end");
         });
         return self[0];
     }
 
-    private static void serveAll(Peer peer) throws IOException {
-        for (String line = peer.line(); line != null; line = peer.line()) {
+    /** Serves commands until the connection ends. */
+    private static void serveAllCommands(LineSocket peer) throws IOException {
+        for (String line = peer.readLine(); line != null; line = peer.readLine()) {
             if (line.startsWith("ms ")) {
-                peer.data(1);
+                peer.readData(1);
             }
-            peer.write(FakeHost.served(line));
+            peer.write(FakeHost.responseTo(line));
         }
     }
 
-    private static String read(Peer peer) throws IOException {
-        String line = peer.line();
+    /** Reads a command with its data block, and returns its first line. */
+    private static String readCommand(LineSocket peer) throws IOException {
+        String line = peer.readLine();
         if (line != null && line.startsWith("ms ")) {
-            peer.data(1);
+            peer.readData(1);
         }
         return line;
     }
 
-    /** It came to the attempt that the first answer had put on the same connection, as "never ran". */
+    /**
+     * The first response makes the module send another request on the same connection. Guards against matching a second
+     * response in the same read, "busy", to that request, which would count as never run.
+     */
     @Test
-    void aSecondAnswerInTheSameReadMeetsNoOtherRequest() throws Exception {
-        FakeHost host = script(peer -> {
-            peer.write(FakeHost.served(read(peer)) + "SERVER_ERROR busy\r\n");
-            serveAll(peer);
-        }, CrossingsTest::serveAll);
-        try (Rig rig = new Rig(host)) {
-            rig.module = (settings, seed, actions) -> new Scripted(actions) {
-                private final List<Long> waiting = new ArrayList<>();
-                private long server;
+    void aSecondResponseInTheSameReadIsNotMatchedToAnotherRequest() throws Exception {
+        FakeHost host = scriptedHost(peer -> {
+            peer.write(FakeHost.responseTo(readCommand(peer)) + "SERVER_ERROR busy\r\n");
+            serveAllCommands(peer);
+        }, CrossingsTest::serveAllCommands);
+        try (BalancerFixture rig = new BalancerFixture(host)) {
+            rig.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
+                private final List<Long> requestIds = new ArrayList<>();
+                private long serverId;
 
                 @Override
                 public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                    server = servers.isEmpty() ? server : servers.get(0).id();
+                    serverId = servers.isEmpty() ? serverId : servers.get(0).id();
                 }
 
                 @Override
                 public void onRequest(long now, Api.Request request) {
-                    waiting.add(request.id());
-                    if (waiting.size() == 2) {
-                        actions.send(waiting.get(0), server, 0);
+                    requestIds.add(request.id());
+                    if (requestIds.size() == 2) {
+                        actions.send(requestIds.get(0), serverId, 0);
                     }
                 }
 
@@ -306,169 +342,187 @@
                 public void onAttemptOutcome(long now, Api.AttemptOutcome outcome) {
                     if (outcome.reason() != Api.Reason.OK) {
                         actions.fail(outcome.requestId());
-                    } else if (outcome.requestId() == waiting.get(0)) {
-                        actions.send(waiting.get(1), server, 0);
+                    } else if (outcome.requestId() == requestIds.get(0)) {
+                        actions.send(requestIds.get(1), serverId, 0);
                     }
                 }
             };
             rig.start();
-            try (Peer client = rig.client()) {
+            try (LineSocket client = rig.connectClient()) {
                 client.write("mg 1 v O1 Pc=read,t=acme,d=9000\r\nmg 2 v O2 Pc=read,t=acme,d=9000\r\n");
-                assertEquals("VA 1 O1", client.line());
-                client.data(1);
-                assertEquals("VA 1 O2", client.line());
+                assertEquals("VA 1 O1", client.readLine());
+                client.readData(1);
+                assertEquals("VA 1 O2", client.readLine());
             }
         }
     }
 
-    /** A late "busy" names no request: a write that had run was refused as if it never had. */
+    /**
+     * A "busy" response carries no opaque. Guards against matching a late second one to a write that has run, which
+     * would tell the client that the write has not run and may be repeated.
+     */
     @Test
-    void aLateSecondAnswerIsNotTakenForAnUnrepeatableWritesOwn() throws Exception {
-        FakeHost host = script(peer -> {
-            peer.write(FakeHost.served(read(peer)));
-            read(peer);
+    void aLateSecondResponseIsNotMatchedToANonIdempotentWrite() throws Exception {
+        FakeHost host = scriptedHost(peer -> {
+            peer.write(FakeHost.responseTo(readCommand(peer)));
+            readCommand(peer);
             peer.write("SERVER_ERROR busy\r\n");
-        }, CrossingsTest::serveAll);
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
-            client.write(fragile("1", 9_000));
-            assertEquals("HD O1 c77", client.line());
-            client.write(fragile("2", 9_000));
-            assertEquals("HD O2 c77", client.line(), "sent on a connection without a past");
+        }, CrossingsTest::serveAllCommands);
+        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+            client.write(nonIdempotentWrites("1", 9_000));
+            assertEquals("HD O1 c77", client.readLine());
+            client.write(nonIdempotentWrites("2", 9_000));
+            assertEquals("HD O2 c77", client.readLine(), "the write must be sent on a connection with no recent response");
         }
     }
 
+    /** The rest of the partial response would be taken for the response to the next request on the connection. */
     @Test
-    void theBeginningOfASecondAnswerEndsTheConnection() throws Exception {
-        FakeHost host = script(peer -> {
-            peer.write(FakeHost.served(read(peer)) + "VA 5 ");
-            serveAll(peer);
-        }, CrossingsTest::serveAll);
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
-            assertEquals("HD O3 c77", client.ask(Rig.PUT.replace(" 5 ", " 1 ").replace("hello", "h")));
-            assertEquals("VA 16 O1", client.ask(Rig.READ));
-            client.data(16);
-            assertEquals(2, host.connections.get());
+    void aPartialSecondResponseClosesTheConnection() throws Exception {
+        FakeHost host = scriptedHost(peer -> {
+            peer.write(FakeHost.responseTo(readCommand(peer)) + "VA 5 ");
+            serveAllCommands(peer);
+        }, CrossingsTest::serveAllCommands);
+        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+            assertEquals("HD O3 c77", client.request(BalancerFixture.DEDUPLICATED_WRITE.replace(" 5 ", " 1 ").replace("hello", "h")));
+            assertEquals("VA 16 O1", client.request(BalancerFixture.READ));
+            client.readData(16);
+            assertEquals(2, host.connectionCount.get());
         }
     }
 
+    /** The same if the partial response arrives only when the connection is idle. */
     @Test
-    void theLateBeginningOfASecondAnswerEndsTheIdleConnection() throws Exception {
-        CountDownLatch idle = new CountDownLatch(1);
-        FakeHost host = script(peer -> {
-            peer.write(FakeHost.served(read(peer)));
+    void aLatePartialSecondResponseClosesTheIdleConnection() throws Exception {
+        CountDownLatch isIdle = new CountDownLatch(1);
+        FakeHost host = scriptedHost(peer -> {
+            peer.write(FakeHost.responseTo(readCommand(peer)));
             try {
-                idle.await();
+                isIdle.await();
             } catch (InterruptedException e) {
                 return;
             }
             peer.write("VA 5 ");
         });
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
-            assertEquals("VA 16 O1", client.ask(Rig.READ));
-            ServingTest.awaitGauge(rig, " idle 1");
-            idle.countDown();
-            ServingTest.awaitGauge(rig, " links 0 ");
+        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+            assertEquals("VA 16 O1", client.request(BalancerFixture.READ));
+            ServingTest.awaitGauges(rig, " idle 1");
+            isIdle.countDown();
+            ServingTest.awaitGauges(rig, " links 0 ");
         }
     }
 
-    // The list, while connections come up or stand idle.
+    // Changes of the host list while connections are being opened or idle.
 
+    /**
+     * The host's address changes while a connection to the old one is being opened. Guards against sending the waiting
+     * request to the old address, which may belong to another process by then.
+     */
     @Test
-    void aConnectionToAnAddressThatIsNoLongerTheHostsCarriesNothing() throws Exception {
-        try (ConnectingTest.FullHost old = new ConnectingTest.FullHost(); FakeHost moved = FakeHost.serving();
-                Rig rig = new Rig()) {
-            rig.extraTargets.add(old.target());
-            rig.connectMs = Peer.LIMIT_MS;
+    void aConnectionToAHostsFormerAddressIsNotUsed() throws Exception {
+        try (SlowConnectTest.HostWithFullAcceptQueue oldHost = new SlowConnectTest.HostWithFullAcceptQueue(); FakeHost newHost = FakeHost.serving();
+                BalancerFixture rig = new BalancerFixture()) {
+            rig.extraTargetsJson.add(oldHost.target());
+            rig.connectTimeoutMs = LineSocket.TIMEOUT_MS;
             rig.start();
-            try (Peer client = rig.client()) {
-                client.write(fragile("1", 15_000));
-                ServingTest.awaitGauge(rig, " links 1 ");
-                list(rig, Rig.target("s-full", moved.endpoint(), "Ready"));
-                try (Peer peer = old.accept()) {
-                    assertNull(peer.line(), "closed without a command");
+            try (LineSocket client = rig.connectClient()) {
+                client.write(nonIdempotentWrites("1", 15_000));
+                ServingTest.awaitGauges(rig, " links 1 ");
+                applyListDelta(rig, BalancerFixture.targetJson("s-full", newHost.endpoint(), "Ready"));
+                try (LineSocket peer = oldHost.acceptAfterQueued()) {
+                    assertNull(peer.readLine(), "the connection must be closed without a command");
                 }
-                assertEquals("SERVER_ERROR busy", client.line());
-                client.write(fragile("2", 9_000));
-                assertEquals("HD O2 c77", client.line());
+                assertEquals("SERVER_ERROR busy", client.readLine());
+                client.write(nonIdempotentWrites("2", 9_000));
+                assertEquals("HD O2 c77", client.readLine());
             }
         }
     }
 
-    /** The process that held the other end is gone: a write on it would end as a reset. */
+    /** The process at the other end no longer exists: a write on such a connection would be answered with a reset. */
     @Test
-    void idleConnectionsToAHostThatStartedAnewAreClosed() throws Exception {
+    void idleConnectionsToARestartedHostAreClosed() throws Exception {
         FakeHost host = FakeHost.serving();
-        try (Rig rig = new Rig(host).start(); Peer client = rig.client()) {
-            assertEquals("HD O3 c77", client.ask(Rig.PUT));
-            ServingTest.awaitGauge(rig, " idle 1");
-            list(rig, Rig.target("s-0", host.endpoint(), "Ready").replace("\"boot_ms\":0", "\"boot_ms\":5"));
-            assertEquals("end", host.awaitEnd());
+        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+            assertEquals("HD O3 c77", client.request(BalancerFixture.DEDUPLICATED_WRITE));
+            ServingTest.awaitGauges(rig, " idle 1");
+            applyListDelta(rig, BalancerFixture.targetJson("s-0", host.endpoint(), "Ready").replace("\"boot_ms\":0", "\"boot_ms\":5"));
+            assertEquals("end", host.awaitConnectionClosed());
         }
     }
 
-    // Requests that are over before they were written.
+    // Requests that complete before they are written to a cache host.
 
+    /**
+     * The client disconnects while the connection to the host is being opened. Cancelling is forbidden for requests
+     * that may have run; this one cannot have run and must not be sent any more.
+     */
     @Test
-    void aRequestWhoseClientLeftIsNotWrittenWhereCancellingIsForbidden() throws Exception {
-        try (ConnectingTest.FullHost host = new ConnectingTest.FullHost(); Rig rig = new Rig()) {
-            rig.extraTargets.add(host.target());
-            rig.connectMs = LONG_MS;
-            rig.cancelling = false;
-            rig.deadlineMs = LONG_MS;
+    void anUnwrittenRequestOfADisconnectedClientIsNotSentThoughCancellingIsForbidden() throws Exception {
+        try (SlowConnectTest.HostWithFullAcceptQueue host = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture rig = new BalancerFixture()) {
+            rig.extraTargetsJson.add(host.target());
+            rig.connectTimeoutMs = LONG_TIMEOUT_MS;
+            rig.mayCancelAttempts = false;
+            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
             rig.start();
-            try (Peer leaver = rig.client()) {
-                leaver.write(fragile("left", LONG_MS));
-                ServingTest.awaitGauge(rig, " links 1 ");
+            try (LineSocket disconnecting = rig.connectClient()) {
+                disconnecting.write(nonIdempotentWrites("left", LONG_TIMEOUT_MS));
+                ServingTest.awaitGauges(rig, " links 1 ");
             }
-            ServingTest.awaitGauge(rig, "open 0 ledger 0 ");
-            try (Peer peer = host.accept(); Peer client = rig.client()) {
-                ServingTest.awaitGauge(rig, " idle 1");
-                client.write(fragile("stays", 9_000));
-                assertTrue(peer.line().contains(" Ostays "), "the first command on the connection");
+            ServingTest.awaitGauges(rig, "open 0 ledger 0 ");
+            try (LineSocket peer = host.acceptAfterQueued(); LineSocket client = rig.connectClient()) {
+                ServingTest.awaitGauges(rig, " idle 1");
+                client.write(nonIdempotentWrites("stays", 9_000));
+                assertTrue(peer.readLine().contains(" Ostays "), "the first command on the connection");
             }
         }
     }
 
+    /**
+     * One of two attempts is answered while the connection for the other is being opened. The other cannot have run and
+     * must not be sent any more, even where cancelling is forbidden.
+     */
     @Test
-    void aCopyIsNotWrittenAfterTheAnswerWhereCancellingIsForbidden() throws Exception {
+    void anUnwrittenHedgedRequestIsNotSentThoughCancellingIsForbidden() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        FakeHost slow = FakeHost.answering(command -> FakeHost.servedAfter(release, command));
-        try (ConnectingTest.FullHost full = new ConnectingTest.FullHost(); Rig rig = new Rig(slow)) {
-            rig.extraTargets.add(full.target());
-            rig.connectMs = LONG_MS;
-            rig.cancelling = false;
-            rig.deadlineMs = LONG_MS;
-            rig.module = (settings, seed, actions) -> new Scripted(actions) {
-                private List<Api.Server> all = List.of();
+        FakeHost slowHost = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
+        try (SlowConnectTest.HostWithFullAcceptQueue fullHost = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture rig = new BalancerFixture(slowHost)) {
+            rig.extraTargetsJson.add(fullHost.target());
+            rig.connectTimeoutMs = LONG_TIMEOUT_MS;
+            rig.mayCancelAttempts = false;
+            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
+            rig.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
+                private List<Api.Server> knownServers = List.of();
 
                 @Override
                 public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                    all = servers.isEmpty() ? all : servers;
+                    knownServers = servers.isEmpty() ? knownServers : servers;
                 }
 
                 @Override
                 public void onRequest(long now, Api.Request request) {
-                    all.forEach(server -> actions.send(request.id(), server.id(), 0));
+                    knownServers.forEach(server -> actions.send(request.id(), server.id(), 0));
                 }
             };
             rig.start();
-            try (Peer client = rig.client()) {
-                client.write(Rig.READ.replace("d=5000", "d=" + LONG_MS) + "\r\n");
-                ServingTest.awaitGauge(rig, " links 2 ");
+            try (LineSocket client = rig.connectClient()) {
+                client.write(BalancerFixture.READ.replace("d=5000", "d=" + LONG_TIMEOUT_MS) + "\r\n");
+                ServingTest.awaitGauges(rig, " links 2 ");
                 release.countDown();
-                assertEquals("VA 16 O1", client.line());
-                ServingTest.awaitGauge(rig, "open 0 ledger 0 ");
-                try (Peer peer = full.accept()) {
-                    ServingTest.awaitGauge(rig, " idle 2");
+                assertEquals("VA 16 O1", client.readLine());
+                ServingTest.awaitGauges(rig, "open 0 ledger 0 ");
+                try (LineSocket peer = fullHost.acceptAfterQueued()) {
+                    ServingTest.awaitGauges(rig, " idle 2");
                     client.write("mg 2 v Onext Pc=read,t=acme,d=9000\r\n");
-                    assertTrue(peer.line().contains(" Onext "), "the first command on the connection");
+                    assertTrue(peer.readLine().contains(" Onext "), "the first command on the connection");
                 }
             }
         }
     }
 
+    /** Guards against other exceptions: a ConfigException has a message for operators, which is logged in one line. */
     @Test
-    void aConfigurationThatIsNoObjectIsToldInOneLine() {
+    void aConfigurationThatIsNotAnObjectIsReportedAsAConfigException() {
         for (String text : List.of("null", "[]", "3", "")) {
             assertThrows(ConfigException.class, () -> Json.parse(text.getBytes()), text);
         }
--- a/src/test/java/eiderscale/net/DiscoveryServer.java
+++ b/src/test/java/eiderscale/net/DiscoveryServer.java
@@ -7,159 +7,171 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** A stand-in for discovery: holds a versioned list of hosts and answers watches on it. */
+/**
+ * A stand-in for discovery: holds a host list with a revision and answers long polls for it. Tests can make it fail,
+ * ignore or delay calls. Thread-safe.
+ */
 final class DiscoveryServer implements AutoCloseable {
-    private static final int FIRST_VERSION = 7;
-    private final Map<String, String> targets = new LinkedHashMap<>();
+    private static final int FIRST_REVISION = 7;
+    private final Map<String, String> targetJsonByUid = new LinkedHashMap<>();
     private final FakeHost server;
-    private int version = FIRST_VERSION;
-    private int calls;
-    private int answeredVersion;
-    private final List<Written> written = new CopyOnWriteArrayList<>();
-    private int failures;
-    private int silences;
-    private int silenced;
-    private long delay;
-    private boolean closed;
+    private int revision = FIRST_REVISION;
+    private int answerableCalls;
+    private int latestSentRevision;
+    private final List<SentResponse> sentResponses = new CopyOnWriteArrayList<>();
+    /** How many of the next calls fail. */
+    private int callsToFail;
+    /** How many of the next calls get no response. */
+    private int callsToIgnore;
+    private int ignoredCalls;
+    private long queueDelayNs;
+    private boolean isClosed;
 
     DiscoveryServer() throws IOException {
-        server = new FakeHost(this::answer);
+        server = new FakeHost(this::handleCall);
     }
 
     String endpoint() {
         return server.endpoint();
     }
 
-    /** Gives a host another state, and so the list a new version. */
-    synchronized void set(String uid, String endpoint, String state) {
-        setTarget(uid, Rig.target(uid, endpoint, state));
+    /** Adds a host or replaces its entry, which increments the revision. {@code state}: as in discovery's format. */
+    synchronized void setHostState(String uid, String endpoint, String state) {
+        setTarget(uid, BalancerFixture.targetJson(uid, endpoint, state));
     }
 
-    synchronized void setTarget(String uid, String target) {
-        targets.put(uid, target);
-        version++;
+    /** The same with the whole entry; see {@link BalancerFixture#targetJson}. */
+    synchronized void setTarget(String uid, String targetJson) {
+        targetJsonByUid.put(uid, targetJson);
+        revision++;
         notifyAll();
     }
 
-    /** The next so many calls end with 503 or, every other one, a reset. */
+    /** Lets the next {@code count} calls fail, alternately with a reset and status 503, the last one with 503. */
     synchronized void failNext(int count) {
-        failures = count;
+        callsToFail = count;
     }
 
-    /** The next so many calls are never answered. */
-    synchronized void silenceNext(int count) {
-        silences = count;
+    /** Leaves the next {@code count} calls without a response. */
+    synchronized void ignoreNext(int count) {
+        callsToIgnore = count;
     }
 
-    /** From now on each call stands in line for so many nanoseconds before it is looked at. */
-    synchronized void delay(long nanos) {
-        delay = nanos;
+    /** Delays the handling of each later call by this time, as if it were queued. */
+    synchronized void queueDelayNs(long delayNs) {
+        queueDelayNs = delayNs;
     }
 
-    /** How many calls have been left unanswered. */
-    synchronized int silenced() {
-        return silenced;
+    /** The number of calls left without a response so far. */
+    synchronized int ignoredCalls() {
+        return ignoredCalls;
     }
 
-    /** {@code at}: in System.nanoTime. */
-    private record Written(int version, long at) {
+    /** A response that was sent. {@code sentAt}: in {@link System#nanoTime}. */
+    private record SentResponse(int revision, long sentAt) {
     }
 
     /**
-     * When this version, or a later one, was first written after {@code since} to a caller that was still there; the
-     * largest number there is if it never was.
+     * When this revision or a later one was first sent, at {@code since} or after it, to a caller that had not
+     * disconnected; {@link Long#MAX_VALUE} if it was not. Instants are of {@link System#nanoTime}.
      */
-    long writtenAt(int least, long since) {
-        return written.stream().filter(answer -> answer.version >= least && answer.at >= since)
-                .mapToLong(Written::at).min().orElse(Long.MAX_VALUE);
+    long firstSentAt(int minRevision, long since) {
+        return sentResponses.stream().filter(response -> response.revision >= minRevision && response.sentAt >= since)
+                .mapToLong(SentResponse::sentAt).min().orElse(Long.MAX_VALUE);
     }
 
-    synchronized int calls() {
-        return calls;
+    /** The number of calls so far, without those that failed or got no response on purpose. */
+    synchronized int answerableCalls() {
+        return answerableCalls;
     }
 
-    /** The latest version that was written as an answer. */
-    synchronized int answeredVersion() {
-        return answeredVersion;
+    /** The latest revision that was sent in a response. */
+    synchronized int latestSentRevision() {
+        return latestSentRevision;
     }
 
-    synchronized int version() {
-        return version;
+    synchronized int revision() {
+        return revision;
     }
 
-    private void answer(Peer peer) throws IOException {
-        String request = peer.line();
+    private void handleCall(LineSocket connection) throws IOException {
+        String request = connection.readLine();
         for (String line = request; line != null && !line.isEmpty(); ) {
-            line = peer.line();
+            line = connection.readLine();
         }
         if (request == null) {
             return;
         }
-        if (fails(peer)) {
+        if (failOrIgnoreIfDue(connection)) {
             return;
         }
-        Listing listing = list(number(request, "since="), number(request, "timeout_ms="));
-        if (!peer.ended()) {
-            written.add(new Written(listing.version, System.nanoTime()));
-            peer.write(listing.answer);
-            wrote(listing.version);
+        ListResponse response =
+                awaitListAfter(numericParameter(request, "since="), numericParameter(request, "timeout_ms="));
+        if (!connection.isClosedByPeer()) {
+            sentResponses.add(new SentResponse(response.revision, System.nanoTime()));
+            connection.write(response.text);
+            recordSent(response.revision);
         }
     }
 
-    private boolean fails(Peer peer) throws IOException {
-        int silent;
-        int failing;
+    /** Fails the call or waits until its caller gives up, if a test asked for it; returns whether it did. */
+    private boolean failOrIgnoreIfDue(LineSocket connection) throws IOException {
+        int remainingToIgnore;
+        int remainingToFail;
         synchronized (this) {
-            silent = silences;
-            silences = Math.max(0, silences - 1);
-            silenced += silent > 0 ? 1 : 0;
-            failing = silent > 0 ? 0 : failures;
-            failures = silent > 0 ? failures : Math.max(0, failures - 1);
+            remainingToIgnore = callsToIgnore;
+            callsToIgnore = Math.max(0, callsToIgnore - 1);
+            ignoredCalls += remainingToIgnore > 0 ? 1 : 0;
+            remainingToFail = remainingToIgnore > 0 ? 0 : callsToFail;
+            callsToFail = remainingToIgnore > 0 ? callsToFail : Math.max(0, callsToFail - 1);
         }
-        if (silent > 0) {
-            peer.awaitEnd();
-        } else if (failing % 2 == 1) {
-            peer.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        } else if (failing > 0) {
-            peer.reset();
+        if (remainingToIgnore > 0) {
+            connection.awaitPeerClose();
+        } else if (remainingToFail % 2 == 1) {
+            connection.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        } else if (remainingToFail > 0) {
+            connection.reset();
         }
-        return silent > 0 || failing > 0;
+        return remainingToIgnore > 0 || remainingToFail > 0;
     }
 
-    private synchronized void wrote(int written) {
-        answeredVersion = Math.max(answeredVersion, written);
+    private synchronized void recordSent(int sentRevision) {
+        latestSentRevision = Math.max(latestSentRevision, sentRevision);
     }
 
-    private record Listing(int version, String answer) {
+    /** A list as an HTTP response, and its revision. */
+    private record ListResponse(int revision, String text) {
     }
 
-    private static int number(String request, String name) {
+    /** The value of a parameter in the request line. */
+    private static int numericParameter(String request, String name) {
         String rest = request.substring(request.indexOf(name) + name.length());
         return Integer.parseInt(rest.split("[^0-9]")[0]);
     }
 
-    private synchronized Listing list(int since, int timeoutMs) {
-        calls++;
-        long turn = System.nanoTime() + delay;
-        long end = turn + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    /** Waits until the list is newer than {@code knownRevision}, at most for the long-poll timeout of the call. */
+    private synchronized ListResponse awaitListAfter(int knownRevision, int timeoutMs) {
+        answerableCalls++;
+        long handlingStartsAt = System.nanoTime() + queueDelayNs;
+        long pollDeadline = handlingStartsAt + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         try {
-            while (System.nanoTime() < turn) {
-                TimeUnit.NANOSECONDS.timedWait(this, turn - System.nanoTime());
+            while (System.nanoTime() < handlingStartsAt) {
+                TimeUnit.NANOSECONDS.timedWait(this, handlingStartsAt - System.nanoTime());
             }
-            while (version <= since && !closed && System.nanoTime() < end) {
-                TimeUnit.NANOSECONDS.timedWait(this, end - System.nanoTime());
+            while (revision <= knownRevision && !isClosed && System.nanoTime() < pollDeadline) {
+                TimeUnit.NANOSECONDS.timedWait(this, pollDeadline - System.nanoTime());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        String json = "{\"rev\":" + version + ",\"all\":" + (version > since) + ",\"targets\":["
-                + (version > since ? String.join(",", targets.values()) : "") + "]}";
-        return new Listing(version, "HTTP/1.1 200 OK\r\nContent-Length: " + json.length() + "\r\n\r\n" + json);
+        String json = "{\"rev\":" + revision + ",\"all\":" + (revision > knownRevision) + ",\"targets\":["
+                + (revision > knownRevision ? String.join(",", targetJsonByUid.values()) : "") + "]}";
+        return new ListResponse(revision, "HTTP/1.1 200 OK\r\nContent-Length: " + json.length() + "\r\n\r\n" + json);
     }
 
     @Override
     public synchronized void close() throws IOException {
-        closed = true;
+        isClosed = true;
         notifyAll();
         server.close();
     }
--- a/src/test/java/eiderscale/net/DiscoveryTest.java
+++ b/src/test/java/eiderscale/net/DiscoveryTest.java
@@ -11,27 +11,32 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The watch on the list of hosts: from the latest version, and on after every failure. */
+/**
+ * Guards against a watch of the host list that ends for good, or resumes from a wrong revision, after a list, a failed
+ * or unresponsive call, a refused connection or a change of discovery's address.
+ */
 class DiscoveryTest {
-    /** What the module was told: the mode and how many hosts. */
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
+    /** The lists that the decision module got: mode and number of hosts. */
+    private final BlockingQueue<String> deliveredLists = new LinkedBlockingQueue<>();
+    /** The responses still to be sent by {@link #startDiscovery}; an empty one stands for a reset. */
+    private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+    /** The request lines that discovery received. */
+    private final BlockingQueue<String> receivedCalls = new LinkedBlockingQueue<>();
 
-    /** Answers each call with the next prepared answer; an empty one is a reset. */
-    private FakeHost discovery() throws IOException {
-        return new FakeHost(peer -> {
-            String request = peer.line();
+    /** Starts a server that takes the response to each call from {@link #responses}. */
+    private FakeHost startDiscovery() throws IOException {
+        return new FakeHost(connection -> {
+            String request = connection.readLine();
             for (String line = request; line != null && !line.isEmpty(); ) {
-                line = peer.line();
+                line = connection.readLine();
             }
-            calls.add(request);
+            receivedCalls.add(request);
             try {
-                String answer = answers.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
-                if (answer == null || answer.isEmpty()) {
-                    peer.reset();
+                String response = responses.poll(LineSocket.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                if (response == null || response.isEmpty()) {
+                    connection.reset();
                 } else {
-                    peer.write(answer);
+                    connection.write(response);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -39,20 +44,21 @@
         });
     }
 
-    private static String ok(String json) {
+    private static String okResponse(String json) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + json.length() + "\r\n\r\n" + json;
     }
 
-    private static String list(int rev, boolean all, String... targets) {
-        return ok("{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}");
+    private static String listResponse(int revision, boolean isFull, String... targetsJson) {
+        return okResponse("{\"rev\":" + revision + ",\"all\":" + isFull + ",\"targets\":["
+                + String.join(",", targetsJson) + "]}");
     }
 
-    /** A module that subscribes whenever it may and writes down what it is told. */
-    private Api.Events recording(Api.Actions actions) {
-        return new Scripted(actions) {
+    /** A module that subscribes at the start and after each failure, and records the lists that it gets. */
+    private Api.Events resubscribingModule(Api.Actions actions) {
+        return new NoOpModule(actions) {
             @Override
             public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                told.add(mode + " " + servers.size());
+                deliveredLists.add(mode + " " + servers.size());
                 if (mode == Api.ListMode.CACHED || mode == Api.ListMode.FAILED) {
                     actions.scheduleTimer(now, 1);
                 }
@@ -65,85 +71,93 @@
         };
     }
 
-    private static String next(BlockingQueue<String> queue) throws InterruptedException {
-        return queue.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+    /** Waits for the next element; null if none comes in time. */
+    private static String pollNext(BlockingQueue<String> queue) throws InterruptedException {
+        return queue.poll(LineSocket.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
-    void theWatchGoesOnFromTheLatestVersionAndOnAfterFailures() throws Exception {
-        try (FakeHost discovery = discovery(); Rig rig = new Rig(FakeHost.serving())) {
-            rig.discovery = discovery.endpoint();
-            rig.module = (settings, seed, actions) -> recording(actions);
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            String host = Rig.target("s-9", "127.0.0.1:9", "Ready");
-            answers.add(list(41, false, host));
-            assertTrue(next(calls).startsWith("GET /catalog/members?since=7&timeout_ms="));
-            assertEquals("DELTA 1", next(told));
-            answers.add(list(43, true, host, host));
-            assertTrue(next(calls).startsWith("GET /catalog/members?since=41&timeout_ms="));
-            assertEquals("FULL 2", next(told));
+    void watchContinuesFromTheLatestRevisionAfterListsAndFailures() throws Exception {
+        try (FakeHost discovery = startDiscovery();
+                BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.discoveryEndpoint = discovery.endpoint();
+            fixture.moduleFactory = (settings, seed, actions) -> resubscribingModule(actions);
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            String hostJson = BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Ready");
+            responses.add(listResponse(41, false, hostJson));
+            assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=7&timeout_ms="));
+            assertEquals("DELTA 1", pollNext(deliveredLists));
+            responses.add(listResponse(43, true, hostJson, hostJson));
+            assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=41&timeout_ms="));
+            assertEquals("FULL 2", pollNext(deliveredLists));
             List<String> failures = List.of("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", "",
-                    ok("{\"rev\":44}"), ok("nonsense"), "garbage\r\n\r\n",
-                    list(44, false, Rig.target("s-9", "127.0.0.1:9", "Unknown")),
-                    list(44, false, Rig.target("s-9", "no address", "Ready")));
+                    okResponse("{\"rev\":44}"), okResponse("nonsense"), "garbage\r\n\r\n",
+                    listResponse(44, false, BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Unknown")),
+                    listResponse(44, false, BalancerFixture.targetJson("s-9", "no address", "Ready")));
             for (String failure : failures) {
-                answers.add(failure);
-                assertTrue(next(calls).startsWith("GET /catalog/members?since=43&timeout_ms="));
-                assertEquals("FAILED 0", next(told), failure);
+                responses.add(failure);
+                assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=43&timeout_ms="));
+                assertEquals("FAILED 0", pollNext(deliveredLists), failure);
             }
-            answers.add(list(45, false));
-            assertTrue(next(calls).startsWith("GET /catalog/members?since=43&timeout_ms="));
-            assertEquals("DELTA 0", next(told));
+            responses.add(listResponse(45, false));
+            assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=43&timeout_ms="));
+            assertEquals("DELTA 0", pollNext(deliveredLists));
         }
     }
 
     @Test
-    void aMovedDiscoveryIsAskedAtOnceFromTheVersionHeld() throws Exception {
-        try (FakeHost old = discovery(); FakeHost moved = discovery(); Rig rig = new Rig(FakeHost.serving())) {
-            rig.discovery = old.endpoint();
-            rig.module = (settings, seed, actions) -> recording(actions);
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            answers.add(list(41, false));
-            assertTrue(next(calls).startsWith("GET /catalog/members?since=7&timeout_ms="));
-            assertEquals("DELTA 0", next(told));
-            assertTrue(next(calls).startsWith("GET /catalog/members?since=41&timeout_ms="), "a call is out");
-            rig.discovery = moved.endpoint();
-            Config replaced = Config.parse(Json.parse(rig.config("127.0.0.1:1").getBytes()));
-            rig.loop.submit(() -> rig.node.reload(replaced)).get();
-            assertTrue(next(calls).startsWith("GET /catalog/members?since=41&timeout_ms="));
-            assertEquals(1, moved.connections.get());
-            // One for the call that was left behind, one for the new one.
-            answers.add(list(44, false));
-            answers.add(list(44, true, Rig.target("s-9", "127.0.0.1:9", "Ready")));
-            String first = next(told);
-            assertTrue(first.equals("DELTA 0") || first.equals("FULL 1"), first);
+    void newAddressIsCalledAtOnceFromTheCurrentRevision() throws Exception {
+        try (FakeHost oldDiscovery = startDiscovery();
+                FakeHost newDiscovery = startDiscovery();
+                BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.discoveryEndpoint = oldDiscovery.endpoint();
+            fixture.moduleFactory = (settings, seed, actions) -> resubscribingModule(actions);
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            responses.add(listResponse(41, false));
+            assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=7&timeout_ms="));
+            assertEquals("DELTA 0", pollNext(deliveredLists));
+            assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=41&timeout_ms="),
+                    "a call is in flight");
+            fixture.discoveryEndpoint = newDiscovery.endpoint();
+            Config newConfig = Config.parse(Json.parse(fixture.configJson("127.0.0.1:1").getBytes()));
+            fixture.eventLoop.submit(() -> fixture.node.reload(newConfig)).get();
+            assertTrue(pollNext(receivedCalls).startsWith("GET /catalog/members?since=41&timeout_ms="));
+            assertEquals(1, newDiscovery.connectionCount.get());
+            // Either call may take the first response: the one to the old address, which is ignored, or the new one.
+            responses.add(listResponse(44, false));
+            responses.add(listResponse(44, true, BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Ready")));
+            String nextList = pollNext(deliveredLists);
+            assertTrue(nextList.equals("DELTA 0") || nextList.equals("FULL 1"), nextList);
         }
     }
 
-    /** A refused connection can fail within the call that opens it; that once left the watch dead for good. */
+    /**
+     * A refused connection may fail synchronously, while the call is still being started. That once ended the watch for
+     * good.
+     */
     @Test
-    void aRefusedConnectionIsAFailureAndIsAskedAgain() throws Exception {
-        FakeHost discovery = discovery();
-        discovery.stop();
-        try (Rig rig = new Rig(FakeHost.serving())) {
-            rig.discovery = discovery.endpoint();
-            rig.module = (settings, seed, actions) -> recording(actions);
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            assertEquals("FAILED 0", next(told));
-            assertEquals("FAILED 0", next(told));
-            assertEquals("FAILED 0", next(told));
+    void refusedConnectionIsReportedAsFailureAndCallsContinue() throws Exception {
+        FakeHost discovery = startDiscovery();
+        discovery.stopListening();
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.discoveryEndpoint = discovery.endpoint();
+            fixture.moduleFactory = (settings, seed, actions) -> resubscribingModule(actions);
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            assertEquals("FAILED 0", pollNext(deliveredLists));
+            assertEquals("FAILED 0", pollNext(deliveredLists));
+            assertEquals("FAILED 0", pollNext(deliveredLists));
         }
     }
 
-    /** A module that subscribes at its start only. */
-    private Api.Events askingOnce(Api.Actions actions) {
-        return new Scripted(actions) {
+    /** A module that subscribes only at the start, and records the lists that it gets. */
+    private Api.Events onceSubscribingModule(Api.Actions actions) {
+        return new NoOpModule(actions) {
             @Override
             public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                told.add(mode + " " + servers.size());
+                deliveredLists.add(mode + " " + servers.size());
                 if (mode == Api.ListMode.CACHED) {
                     actions.scheduleTimer(now, 1);
                 }
@@ -156,107 +170,120 @@
         };
     }
 
-    private static void move(Rig rig, FakeHost moved) throws Exception {
-        rig.discovery = moved.endpoint();
-        Config replaced = Config.parse(Json.parse(rig.config("127.0.0.1:1").getBytes()));
-        rig.loop.submit(() -> rig.node.reload(replaced)).get();
+    /** Reloads the configuration with another address of discovery. */
+    private static void reloadWithDiscovery(BalancerFixture fixture, FakeHost newDiscovery) throws Exception {
+        fixture.discoveryEndpoint = newDiscovery.endpoint();
+        Config newConfig = Config.parse(Json.parse(fixture.configJson("127.0.0.1:1").getBytes()));
+        fixture.eventLoop.submit(() -> fixture.node.reload(newConfig)).get();
     }
 
-    /** What a silent watch misses counts as told soon after its wait: too soon for the module's back-off. */
+    /**
+     * The balancer is expected to know a change soon after the long-poll timeout of the watch that missed it. The
+     * decision module's backoff would take too long, so it must not get to see a failure.
+     */
     @Test
-    void aWatchThatFallsSilentIsOpenedAnewAtOnce() throws Exception {
-        FakeHost discovery = new FakeHost(peer -> {
-            calls.add(peer.line());
-            if (calls.size() == 1) {
-                while (peer.line() != null) {
-                    continue; // Says nothing until the balancer gives up.
+    void unresponsiveWatchIsReopenedAtOnce() throws Exception {
+        FakeHost discovery = new FakeHost(connection -> {
+            receivedCalls.add(connection.readLine());
+            if (receivedCalls.size() == 1) {
+                while (connection.readLine() != null) {
+                    continue; // No response until the balancer closes the connection.
                 }
             } else {
-                peer.write(list(41, true, Rig.target("s-9", "127.0.0.1:9", "Terminating")));
+                connection.write(listResponse(41, true,
+                        BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Terminating")));
             }
         });
-        try (discovery; Rig rig = new Rig(FakeHost.serving())) {
-            rig.discovery = discovery.endpoint();
-            rig.module = (settings, seed, actions) -> askingOnce(actions);
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            assertEquals("FULL 1", next(told), "no failure in between, for the module to back off from");
+        try (discovery; BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.discoveryEndpoint = discovery.endpoint();
+            fixture.moduleFactory = (settings, seed, actions) -> onceSubscribingModule(actions);
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            assertEquals("FULL 1", pollNext(deliveredLists),
+                    "no failure before it that would make the module back off");
         }
     }
 
-    /** What the new address has to tell counts as told 4 s after the signal. */
+    /** The balancer is expected to know the list at the new address 4 s after the signal for the reload. */
     @Test
-    void aFirstCallThatFailsAtTheNewAddressIsMadeAgainWithoutTheModule() throws Exception {
-        try (FakeHost old = new FakeHost(Peer::awaitEnd); FakeHost moved = discovery();
-                Rig rig = new Rig(FakeHost.serving())) {
-            rig.discovery = old.endpoint();
-            rig.module = (settings, seed, actions) -> askingOnce(actions);
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            answers.add("");
-            answers.add("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-            answers.add(list(44, true, Rig.target("s-9", "127.0.0.1:9", "Ready")));
-            move(rig, moved);
-            assertEquals("FULL 1", next(told));
+    void failedCallsToANewAddressAreRetriedWithoutTheModule() throws Exception {
+        try (FakeHost oldDiscovery = new FakeHost(LineSocket::awaitPeerClose);
+                FakeHost newDiscovery = startDiscovery();
+                BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.discoveryEndpoint = oldDiscovery.endpoint();
+            fixture.moduleFactory = (settings, seed, actions) -> onceSubscribingModule(actions);
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            responses.add("");
+            responses.add("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            responses.add(listResponse(44, true, BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Ready")));
+            reloadWithDiscovery(fixture, newDiscovery);
+            assertEquals("FULL 1", pollNext(deliveredLists));
         }
     }
 
-    /** A move may come before the module's first call, which waits for its turn. */
+    /** The address may change before the module has subscribed, as that waits for the module's timer. */
     @Test
-    void aMoveBeforeTheFirstCallBeginsTheWatch() throws Exception {
-        try (FakeHost moved = discovery(); Rig rig = new Rig(FakeHost.serving())) {
-            rig.module = (settings, seed, actions) -> new Scripted(actions) {
+    void addressChangeBeforeTheFirstCallStartsTheWatch() throws Exception {
+        try (FakeHost newDiscovery = startDiscovery();
+                BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
                 @Override
                 public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                    told.add(mode + " " + servers.size());
+                    deliveredLists.add(mode + " " + servers.size());
                 }
             };
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            answers.add(list(44, true, Rig.target("s-9", "127.0.0.1:9", "Ready")));
-            move(rig, moved);
-            assertEquals("FULL 1", next(told));
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            responses.add(listResponse(44, true, BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Ready")));
+            reloadWithDiscovery(fixture, newDiscovery);
+            assertEquals("FULL 1", pollNext(deliveredLists));
         }
     }
 
     @Test
-    void pushedListsAreWatchedFromTheStartAndOnAfterFailures() throws Exception {
-        try (FakeHost discovery = discovery(); Rig rig = new Rig(FakeHost.serving())) {
-            rig.discovery = discovery.endpoint();
-            rig.listed = "automatic";
-            rig.module = (settings, seed, actions) -> new Scripted(actions) {
+    void automaticWatchStartsAtOnceAndContinuesAfterFailures() throws Exception {
+        try (FakeHost discovery = startDiscovery();
+                BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
+            fixture.discoveryEndpoint = discovery.endpoint();
+            fixture.discoveryMode = "automatic";
+            fixture.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
                 @Override
                 public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                    told.add(mode + " " + servers.size());
+                    deliveredLists.add(mode + " " + servers.size());
                 }
             };
-            answers.add("");
-            answers.add("");
-            answers.add(list(41, true, Rig.target("s-9", "127.0.0.1:9", "Ready")));
-            rig.start();
-            assertEquals("CACHED 1", next(told));
-            assertEquals("FULL 1", next(told));
+            responses.add("");
+            responses.add("");
+            responses.add(listResponse(41, true, BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Ready")));
+            fixture.start();
+            assertEquals("CACHED 1", pollNext(deliveredLists));
+            assertEquals("FULL 1", pollNext(deliveredLists));
         }
     }
 
-    /** Rendezvous hashing needs one id for a host at all balancers, whose addresses for it differ. */
+    /**
+     * Rendezvous hashing needs the same host id at all balancers, although they may reach the host by different
+     * addresses.
+     */
     @Test
-    void aHostsIdComesFromItsUidAlone() throws Exception {
+    void hostIdDependsOnlyOnItsUid() throws Exception {
         SiteSettings site;
-        try (Rig rig = new Rig()) {
-            site = rig.site();
+        try (BalancerFixture fixture = new BalancerFixture()) {
+            site = fixture.siteSettings();
         }
-        HostList here = parse(Rig.target("s-5be2a07c", "127.0.0.1:11211", "Ready"), site);
-        HostList there = parse(Rig.target("s-5be2a07c", "127.9.0.1:11211", "Terminating"), site);
-        HostList other = parse(Rig.target("s-5be2a07d", "127.0.0.1:11211", "Gone"), site);
-        assertEquals(here.members().get(0).server().id(), there.members().get(0).server().id());
-        assertTrue(here.members().get(0).server().id() != other.members().get(0).server().id());
-        assertEquals(Api.State.DRAINING, there.members().get(0).server().state());
-        assertEquals(Api.State.GONE, other.members().get(0).server().state());
+        HostList ready = parseCatalog(BalancerFixture.targetJson("s-5be2a07c", "127.0.0.1:11211", "Ready"), site);
+        HostList sameUid = parseCatalog(
+                BalancerFixture.targetJson("s-5be2a07c", "127.9.0.1:11211", "Terminating"), site);
+        HostList otherUid = parseCatalog(BalancerFixture.targetJson("s-5be2a07d", "127.0.0.1:11211", "Gone"), site);
+        assertEquals(ready.members().get(0).server().id(), sameUid.members().get(0).server().id());
+        assertTrue(ready.members().get(0).server().id() != otherUid.members().get(0).server().id());
+        assertEquals(Api.State.DRAINING, sameUid.members().get(0).server().state());
+        assertEquals(Api.State.GONE, otherUid.members().get(0).server().state());
     }
 
-    private static HostList parse(String target, SiteSettings site) {
-        String text = "{\"rev\":1,\"all\":true,\"targets\":[" + target + "]}";
-        return HostList.parse(Json.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8)), site);
+    private static HostList parseCatalog(String targetJson, SiteSettings site) {
+        String catalogJson = "{\"rev\":1,\"all\":true,\"targets\":[" + targetJson + "]}";
+        return HostList.parse(Json.parse(catalogJson.getBytes(java.nio.charset.StandardCharsets.UTF_8)), site);
     }
 }
--- a/src/test/java/eiderscale/net/FakeHost.java
+++ b/src/test/java/eiderscale/net/FakeHost.java
@@ -12,53 +12,57 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A tiny peer on an ephemeral port: does what the test says with each connection. */
+/**
+ * A server on an ephemeral loopback port that stands in for a cache host, or for discovery. The test supplies what it
+ * does on each connection.
+ */
 final class FakeHost implements AutoCloseable {
-    /** What happens on one connection, from its start to its end. */
-    interface Script {
-        void run(Peer peer) throws IOException;
+    /** Handles one accepted connection, which is closed when {@code run} returns. Runs on a thread of its own. */
+    interface ConnectionScript {
+        void run(LineSocket connection) throws IOException;
     }
 
-    /** What is answered to one command; nothing if null. */
-    interface Answer {
+    /** The responses of a host; {@code to} returns the response to a command, or null to send none. */
+    interface Responses {
         String to(String command);
     }
 
-    final AtomicInteger connections = new AtomicInteger();
-    /** First lines of commands, in the order in which they came. */
-    final BlockingQueue<String> commands = new LinkedBlockingQueue<>();
-    /** Takes an element for every connection that its far end has closed. */
-    final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket server;
-    private final Thread acceptor;
+    /** Number of connections accepted so far. */
+    final AtomicInteger connectionCount = new AtomicInteger();
+    /** Lines of the received commands, in order of arrival; a write's value is appended as {@code " data=..."}. */
+    final BlockingQueue<String> receivedCommands = new LinkedBlockingQueue<>();
+    /** Gets one element, "end", for each connection that the balancer closes; filled by {@link #responding}. */
+    final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket serverSocket;
+    private final Thread acceptThread;
 
-    FakeHost(Script script) throws IOException {
-        server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        acceptor = thread(() -> {
+    FakeHost(ConnectionScript script) throws IOException {
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        acceptThread = startThread(() -> {
             while (true) {
-                Socket socket = server.accept();
-                connections.incrementAndGet();
-                open.add(socket);
-                thread(() -> {
-                    try (Peer peer = new Peer(socket)) {
-                        script.run(peer);
+                Socket socket = serverSocket.accept();
+                connectionCount.incrementAndGet();
+                openSockets.add(socket);
+                startThread(() -> {
+                    try (LineSocket connection = new LineSocket(socket)) {
+                        script.run(connection);
                     }
                 });
             }
         });
     }
 
-    private interface Task {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static Thread thread(Task task) {
+    private static Thread startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException e) {
-                // The test is over, or its script ended the connection.
+                // The test has ended, or the script has closed the connection.
             }
         });
         thread.setDaemon(true);
@@ -66,48 +70,51 @@
         return thread;
     }
 
-    /** A host that answers every command. */
-    static FakeHost answering(Answer answer) throws IOException {
-        FakeHost[] self = new FakeHost[1];
-        self[0] = new FakeHost(peer -> {
-            String command = self[0].next(peer);
+    /** A host that sends these responses to the commands it gets. */
+    static FakeHost responding(Responses responses) throws IOException {
+        FakeHost[] host = new FakeHost[1];
+        host[0] = new FakeHost(connection -> {
+            String command = host[0].readCommand(connection);
             while (command != null) {
-                String text = answer.to(command);
-                if (text != null) {
-                    peer.write(text);
+                String response = responses.to(command);
+                if (response != null) {
+                    connection.write(response);
                 }
-                command = self[0].next(peer);
+                command = host[0].readCommand(connection);
             }
-            self[0].ends.add("end");
+            host[0].closedConnections.add("end");
         });
-        return self[0];
+        return host[0];
     }
 
-    /** A host that serves: the value of a read is its key, the receipt of a write its data. */
+    /** A host that responds successfully to every command; see {@link #responseTo}. */
     static FakeHost serving() throws IOException {
-        return answering(FakeHost::served);
+        return responding(FakeHost::responseTo);
     }
 
-    static String served(String command) {
+    /** A successful response: to a read its key as the value, to a write the receipt {@code c77}. */
+    static String responseTo(String command) {
         String[] words = command.split(" ");
-        return words[0].equals("mg") ? value(command, words[1]) : "HD " + opaque(command) + " c77\r\n";
+        return words[0].equals("mg") ? valueResponse(command, words[1]) : "HD " + opaqueFlag(command) + " c77\r\n";
     }
 
-    /** Serves once it is released; nothing if the test is over before. */
-    static String servedAfter(CountDownLatch release, String command) {
+    /** Waits for the latch and then responds successfully; returns null if interrupted before. */
+    static String responseAfter(CountDownLatch release, String command) {
         try {
             release.await();
-            return served(command);
+            return responseTo(command);
         } catch (InterruptedException e) {
             return null;
         }
     }
 
-    static String value(String command, String value) {
-        return "VA " + value.length() + " " + opaque(command) + " h1 Lutil=0.5\r\n" + value + "\r\n";
+    /** The response to a read with this value, including the flags that are meant for balancers. */
+    static String valueResponse(String command, String value) {
+        return "VA " + value.length() + " " + opaqueFlag(command) + " h1 Lutil=0.5\r\n" + value + "\r\n";
     }
 
-    static String opaque(String command) {
+    /** The command's opaque flag ({@code O} and the opaque), which the response must repeat. */
+    static String opaqueFlag(String command) {
         for (String word : command.split(" ")) {
             if (word.startsWith("O")) {
                 return word;
@@ -116,48 +123,49 @@
         return "O";
     }
 
-    /** Reads a command with its data, notes it, and returns its line; null at the end. */
-    String next(Peer peer) throws IOException {
-        String line = peer.line();
+    /** Reads a command with its value, records it, and returns its line; null at the end of the stream. */
+    String readCommand(LineSocket connection) throws IOException {
+        String line = connection.readLine();
         if (line != null) {
             String[] words = line.split(" ");
             if (words[0].equals("ms")) {
-                line += " data=" + peer.data(Integer.parseInt(words[2]));
+                line += " data=" + connection.readData(Integer.parseInt(words[2]));
             }
-            commands.add(line);
+            receivedCommands.add(line);
         }
         return line;
     }
 
-    /** The next command that came, waited for. */
-    String command() throws InterruptedException {
-        return commands.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+    /** Waits for the next recorded command, removes and returns it; null if none comes in time. */
+    String awaitCommand() throws InterruptedException {
+        return receivedCommands.poll(LineSocket.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    String awaitEnd() throws InterruptedException {
-        return ends.poll(Peer.LIMIT_MS, TimeUnit.MILLISECONDS);
+    /** Waits until the balancer closes a connection, and returns "end"; null if it closes none in time. */
+    String awaitConnectionClosed() throws InterruptedException {
+        return closedConnections.poll(LineSocket.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     String endpoint() {
-        return "127.0.0.1:" + server.getLocalPort();
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
-    /** Closes all connections there are. */
-    void endConnections() throws IOException {
-        for (Socket socket = open.poll(); socket != null; socket = open.poll()) {
+    /** Closes all accepted connections. */
+    void closeConnections() throws IOException {
+        for (Socket socket = openSockets.poll(); socket != null; socket = openSockets.poll()) {
             socket.close();
         }
     }
 
-    /** Refuses connections from now on. */
-    void stop() throws IOException, InterruptedException {
-        server.close();
-        // The kernel keeps listening while a thread is still inside its accept.
-        acceptor.join(Peer.LIMIT_MS);
+    /** Closes the listening socket, so that new connections are refused; accepted ones stay open. */
+    void stopListening() throws IOException, InterruptedException {
+        serverSocket.close();
+        // The kernel keeps the port open until a thread that is blocked in accept has returned.
+        acceptThread.join(LineSocket.TIMEOUT_MS);
     }
 
     @Override
     public void close() throws IOException {
-        server.close();
+        serverSocket.close();
     }
 }
--- a/src/test/java/eiderscale/net/FaultSoakTest.java
+++ b/src/test/java/eiderscale/net/FaultSoakTest.java
@@ -13,35 +13,40 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Seeded runs under faults. {@code -Dsoak.seeds=FIRST-LAST} plays other seeds than CI's, {@code -Dsoak.parallel=N} so
- * many at once, {@code -Dsoak.seconds=N} each for so long.
+ * Runs {@link SoakScenario} for a range of seeds and fails if an invariant is violated: requests lost, writes executed
+ * twice, attempts sent to draining hosts or past their deadlines while system calls fail, configurations are reloaded
+ * and balancers are restarted. Prints one line per seed, followed by {@code BROKEN}, the violations and a trace if
+ * there are any.
+ *
+ * <p>{@code -Dsoak.seeds=FIRST-LAST} runs other seeds than CI does, {@code -Dsoak.parallel=N} sets how many run at
+ * once, {@code -Dsoak.seconds=N} the duration of each.
  */
 class FaultSoakTest {
     private static final String CI_SEEDS = "1-16";
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
     void noRuleIsBrokenWhileSystemCallsFail() throws Exception {
         String[] range = System.getProperty("soak.seeds", CI_SEEDS).split("-");
-        ExecutorService players = Executors.newFixedThreadPool(Integer.getInteger("soak.parallel", 3));
+        ExecutorService executor = Executors.newFixedThreadPool(Integer.getInteger("soak.parallel", 3));
         List<Future<String>> runs = new ArrayList<>();
         for (int seed = Integer.parseInt(range[0]); seed <= Integer.parseInt(range[1]); seed++) {
-            SoakRun run = new SoakRun(seed);
-            Path place = Files.createDirectory(folder.resolve(Integer.toString(seed)));
-            runs.add(players.submit(() -> {
-                List<String> broken = run.play(place);
-                System.out.println(run.summary() + (broken.isEmpty() ? ""
-                        : " BROKEN " + broken + "\n  " + String.join("\n  ", run.trace())));
-                return broken.isEmpty() ? "" : run.summary() + " " + broken;
+            SoakScenario scenario = new SoakScenario(seed);
+            Path runDirectory = Files.createDirectory(directory.resolve(Integer.toString(seed)));
+            runs.add(executor.submit(() -> {
+                List<String> violations = scenario.execute(runDirectory);
+                System.out.println(scenario.summary() + (violations.isEmpty() ? ""
+                        : " BROKEN " + violations + "\n  " + String.join("\n  ", scenario.trace())));
+                return violations.isEmpty() ? "" : scenario.summary() + " " + violations;
             }));
         }
-        List<String> broken = new ArrayList<>();
+        List<String> failures = new ArrayList<>();
         for (Future<String> run : runs) {
-            broken.add(run.get());
+            failures.add(run.get());
         }
-        players.shutdown();
-        broken.removeIf(String::isEmpty);
-        assertEquals(List.of(), broken);
+        executor.shutdown();
+        failures.removeIf(String::isEmpty);
+        assertEquals(List.of(), failures);
     }
 }
--- a/src/test/java/eiderscale/net/Faults.java
+++ b/src/test/java/eiderscale/net/Faults.java
@@ -9,14 +9,25 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 
-/** System calls that fail in a process with the preloaded library of {@code src/test/c/fault_injection.c}. */
+/**
+ * Makes system calls of a process fail. The process preloads the library {@code src/test/c/fault_injection.c}, which
+ * reads one rule per kind of call from a file that this class maps. A rule takes effect at once, may be set while the
+ * process runs, and replaces the previous rule for that kind of call.
+ */
 final class Faults {
-    /** The calls, in the order of the library's table. */
+    /**
+     * Kinds of calls, in the order of the library's table. {@code READ}, {@code WRITE} and {@code CLOSE} are calls on
+     * stream sockets; {@code FCNTL} sets the flags of such a socket; {@code WAIT} is epoll_wait and poll; {@code OPEN}
+     * and {@code FILE_READ} concern the configuration file, {@code ANY_FILE_READ} every regular file;
+     * {@code LOG_WRITE} is a write to standard output or standard error; {@code WALL_CLOCK} steps the wall clock and
+     * never fails.
+     */
     enum Call { SOCKET, CONNECT, ACCEPT, READ, WRITE, SHUTDOWN, SETSOCKOPT, WAIT, OPEN, FILE_READ, WALL_CLOCK,
         ANY_FILE_READ, LOG_WRITE, FCNTL, CLOSE }
 
-    /** Error numbers of Linux. */
-    static final int SHORT = 0;
+    /** In place of an error number: the read or write succeeds but transfers only one byte. */
+    static final int PARTIAL_TRANSFER = 0;
+    /** Linux error numbers. */
     static final int EINTR = 4;
     static final int EIO = 5;
     static final int ENOMEM = 12;
@@ -29,29 +40,32 @@
     static final int ETIMEDOUT = 110;
     static final int EHOSTUNREACH = 113;
 
-    /** As many failures as come until the rule is changed. */
-    static final int ENDLESS = -1;
-    static final int ALWAYS = 0;
+    /** Failure count: calls fail until the rule is replaced or cleared. */
+    static final int UNLIMITED = -1;
+    /** Per-mille value: every call fails. */
+    static final int ALL_CALLS = 0;
 
     private static final Path SOURCE = Path.of("src/test/c/fault_injection.c");
     private static final Path LIBRARY = Path.of("target/fault_injection.so").toAbsolutePath();
-    private static final int FIELDS = 6;
-    private static final int RULE_BYTES = FIELDS * Integer.BYTES;
-    private static final int LEFT = 0;
-    private static final int ERROR = 1;
-    private static final int PORT = 2;
-    private static final int PER_MILLE = 3;
-    private static final int SEED = 4;
-    private static final int FAILED = 5;
-
-    private final Path file;
+    private static final int FIELDS_PER_RULE = 6;
+    private static final int RULE_BYTES = FIELDS_PER_RULE * Integer.BYTES;
+    // Indexes of the 32-bit fields of a rule; they match struct rule in the C source.
+    private static final int REMAINING_FIELD = 0;
+    private static final int ERROR_FIELD = 1;
+    private static final int PORT_FIELD = 2;
+    private static final int PER_MILLE_FIELD = 3;
+    private static final int SEED_FIELD = 4;
+    private static final int FAILED_FIELD = 5;
+
+    private final Path tableFile;
     private final MappedByteBuffer table;
 
-    Faults(Path folder) throws IOException, InterruptedException {
+    /** Creates the table without rules, in a file in {@code directory}; compiles the library if it is out of date. */
+    Faults(Path directory) throws IOException, InterruptedException {
         compile();
-        file = folder.resolve("faults");
-        Files.write(file, new byte[RULE_BYTES * Call.values().length]);
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        tableFile = directory.resolve("faults");
+        Files.write(tableFile, new byte[RULE_BYTES * Call.values().length]);
+        try (FileChannel channel = FileChannel.open(tableFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             table = channel.map(FileChannel.MapMode.READ_WRITE, 0, channel.size());
         }
         table.order(ByteOrder.nativeOrder());
@@ -62,75 +76,84 @@
                 Files.getLastModifiedTime(SOURCE)) > 0) {
             return;
         }
-        Path fresh = Files.createTempFile(LIBRARY.getParent(), "fault", ".so");
-        Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", fresh.toString(),
+        Path newLibrary = Files.createTempFile(LIBRARY.getParent(), "fault", ".so");
+        Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", newLibrary.toString(),
                 SOURCE.toString(), "-ldl").inheritIO().start();
         if (compiler.waitFor() != 0) {
-            throw new IOException("a C compiler named cc is needed to build " + SOURCE);
+            throw new IOException("cannot build with the C compiler (cc): " + SOURCE);
         }
-        Files.move(fresh, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(newLibrary, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Has the library preloaded into a process with this environment. */
+    /** Adds the variables that make a process with this environment preload the library and use this table. */
     void install(Map<String, String> environment) {
         environment.put("LD_PRELOAD", LIBRARY.toString());
-        environment.put("FAULT_TABLE", file.toString());
+        environment.put("FAULT_TABLE", tableFile.toString());
     }
 
-    /** The next {@code count} of these calls fail with this error. */
+    /**
+     * Makes the next {@code count} calls fail, or all calls if that is {@link #UNLIMITED}. {@code error}: the error
+     * number, or {@link #PARTIAL_TRANSFER} for reads and writes.
+     */
     void fail(Call call, int error, int count) {
         fail(call, error, count, 0);
     }
 
-    /** The same, for sockets with this port at either end only. */
+    /** The same, only for sockets whose local or remote port is {@code port}; 0 for any port. */
     void fail(Call call, int error, int count, int port) {
-        rule(call, error, count, port, ALWAYS, 0);
+        setRule(call, error, count, port, ALL_CALLS, 0);
     }
 
-    /** Once so many of these calls have succeeded, the next {@code count} fail with this error. */
+    /** Lets the next {@code successes} calls succeed and makes the {@code count} calls after them fail. */
     void failAfter(int successes, Call call, int error, int count, int port) {
-        rule(call, error, count, port, -successes, 0);
+        setRule(call, error, count, port, -successes, 0);
     }
 
-    /** Of a thousand of these calls so many fail, by chance from this seed, until changed. */
-    void failSome(Call call, int error, int perMille, int seed) {
-        rule(call, error, ENDLESS, 0, perMille, seed);
+    /**
+     * Makes calls fail at random until the rule is replaced or cleared, with a probability of {@code perMille} / 1000;
+     * the sequence of failures depends on {@code seed}.
+     */
+    void failRandomly(Call call, int error, int perMille, int seed) {
+        setRule(call, error, UNLIMITED, 0, perMille, seed);
     }
 
-    private void rule(Call call, int error, int count, int port, int perMille, int seed) {
-        put(call, LEFT, 0);
-        put(call, ERROR, error);
-        put(call, PORT, port);
-        put(call, PER_MILLE, perMille);
-        put(call, SEED, seed | 1);
-        put(call, LEFT, count);
+    private void setRule(Call call, int error, int count, int port, int perMille, int seed) {
+        // Disabled while its other fields change, as the process reads the rule without locking.
+        setField(call, REMAINING_FIELD, 0);
+        setField(call, ERROR_FIELD, error);
+        setField(call, PORT_FIELD, port);
+        setField(call, PER_MILLE_FIELD, perMille);
+        setField(call, SEED_FIELD, seed | 1);
+        setField(call, REMAINING_FIELD, count);
     }
 
+    /** Shifts the wall clock by this many seconds, which may be negative; monotonic clocks stay as they are. */
     void stepWallClock(int seconds) {
-        fail(Call.WALL_CLOCK, 0, ENDLESS, seconds);
+        fail(Call.WALL_CLOCK, 0, UNLIMITED, seconds);
     }
 
-    void heal(Call call) {
-        put(call, LEFT, 0);
+    /** Ends the failures of a kind of call, or the step of the wall clock. */
+    void clear(Call call) {
+        setField(call, REMAINING_FIELD, 0);
     }
 
-    void healAll() {
+    void clearAll() {
         for (Call call : Call.values()) {
-            heal(call);
+            clear(call);
         }
     }
 
-    /** How many of these calls have failed. */
-    int failed(Call call) {
-        return table.getInt(call.ordinal() * RULE_BYTES + FAILED * Integer.BYTES);
+    /** The number of failures injected so far into a kind of call, over all rules for it. */
+    int failureCount(Call call) {
+        return table.getInt(call.ordinal() * RULE_BYTES + FAILED_FIELD * Integer.BYTES);
     }
 
-    private void put(Call call, int field, int value) {
+    private void setField(Call call, int field, int value) {
         table.putInt(call.ordinal() * RULE_BYTES + field * Integer.BYTES, value);
     }
 
-    /** Waits until so many of these calls have failed. */
-    void awaitFailed(Call call, int count) throws InterruptedException {
-        Waiting.until(() -> failed(call) >= count, count + " failures of " + call);
+    /** Waits until {@link #failureCount} is at least {@code count}. */
+    void awaitFailureCount(Call call, int count) throws InterruptedException {
+        Await.until(() -> failureCount(call) >= count, count + " failures of " + call);
     }
 }
--- a/src/test/java/eiderscale/net/FreePort.java
+++ b/src/test/java/eiderscale/net/FreePort.java
@@ -9,37 +9,40 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports for processes that bind them later. All lie below those that the system hands out by itself, as one of these may
- * be given to any connection between the moment it was found free and the moment it is bound.
+ * Allocates ports for processes that bind them later. All lie below the system's ephemeral port range: an ephemeral
+ * port could be assigned to another connection after it was found free and before the process binds it.
  */
 final class FreePort {
-    private static final Path HANDED_OUT_BY_SYSTEM = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
-    private static final int USUAL_FIRST_HANDED_OUT = 32_768;
-    private static final int COUNT = 10_000;
-    private static final int STRIDE = 97;
-    /** Each port is given once; test runs beside this one begin elsewhere. */
-    private static final AtomicInteger NEXT = new AtomicInteger((int) (ProcessHandle.current().pid() * STRIDE % COUNT));
+    private static final Path EPHEMERAL_PORT_RANGE_FILE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
+    private static final int DEFAULT_FIRST_EPHEMERAL_PORT = 32_768;
+    private static final int CANDIDATE_COUNT = 10_000;
+    private static final int START_OFFSET_PER_PID = 97;
+    /** Advances so that a port is not allocated twice; starts at another offset in concurrent test runs. */
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * START_OFFSET_PER_PID % CANDIDATE_COUNT));
 
     private FreePort() {
     }
 
-    static int take() throws IOException {
-        int first = firstHandedOut() - COUNT;
-        for (int i = 0; i < COUNT; i++) {
-            int port = first + NEXT.getAndIncrement() % COUNT;
+    /** Returns a port on which nothing listens now. */
+    static int allocate() throws IOException {
+        int firstCandidate = firstEphemeralPort() - CANDIDATE_COUNT;
+        for (int i = 0; i < CANDIDATE_COUNT; i++) {
+            int port = firstCandidate + NEXT_OFFSET.getAndIncrement() % CANDIDATE_COUNT;
             if (isFree(port)) {
                 return port;
             }
         }
-        throw new IOException("none of the ports from " + first + " to " + (first + COUNT - 1) + " is free");
+        throw new IOException("none of the ports from " + firstCandidate + " to "
+                + (firstCandidate + CANDIDATE_COUNT - 1) + " is free");
     }
 
-    private static int firstHandedOut() throws IOException {
-        if (!Files.isReadable(HANDED_OUT_BY_SYSTEM)) {
-            return USUAL_FIRST_HANDED_OUT;
+    private static int firstEphemeralPort() throws IOException {
+        if (!Files.isReadable(EPHEMERAL_PORT_RANGE_FILE)) {
+            return DEFAULT_FIRST_EPHEMERAL_PORT;
         }
-        // Not readString: files of the kernel tell no size and may be read in one piece only.
-        try (BufferedReader reader = Files.newBufferedReader(HANDED_OUT_BY_SYSTEM)) {
+        // Not readString: files in /proc report no size, and must be read in a single piece.
+        try (BufferedReader reader = Files.newBufferedReader(EPHEMERAL_PORT_RANGE_FILE)) {
             return Integer.parseInt(reader.readLine().trim().split("\\s+")[0]);
         }
     }
