--- a/src/test/java/eiderscale/net/BalancerProcess.java
+++ b/src/test/java/eiderscale/net/BalancerProcess.java
@@ -19,23 +19,23 @@
     /** Where the balancer listens for clients, on the loopback address. */
     final int port;
     private final Path directory;
-    private final BalancerFixture rig;
+    private final BalancerFixture fixture;
     private final Faults faults;
     private final List<String> log = new CopyOnWriteArrayList<>();
     private Process process;
     private volatile boolean isLogComplete;
 
     /**
-     * Listens on a free port. {@code directory}: where the configuration file is written; {@code rig}: supplies hosts
+     * Listens on a free port. {@code directory}: where the configuration file is written; {@code fixture}: supplies hosts
      * and settings; {@code faults}: the faults to preload, null for none.
      */
-    BalancerProcess(Path directory, BalancerFixture rig, Faults faults) throws IOException {
-        this(directory, rig, faults, FreePort.allocate());
+    BalancerProcess(Path directory, BalancerFixture fixture, Faults faults) throws IOException {
+        this(directory, fixture, faults, FreePort.allocate());
     }
 
-    BalancerProcess(Path directory, BalancerFixture rig, Faults faults, int port) {
+    BalancerProcess(Path directory, BalancerFixture fixture, Faults faults, int port) {
         this.directory = directory;
-        this.rig = rig;
+        this.fixture = fixture;
         this.faults = faults;
         this.port = port;
     }
@@ -45,7 +45,7 @@
     }
 
     String config() {
-        return rig.configJson("127.0.0.1:" + port);
+        return fixture.configJson("127.0.0.1:" + port);
     }
 
     /** Writes the configuration file and starts the process, without waiting until it serves. */
--- a/src/test/java/eiderscale/net/ConnectionFaultsTest.java
+++ b/src/test/java/eiderscale/net/ConnectionFaultsTest.java
@@ -75,14 +75,14 @@
     @ValueSource(ints = {Faults.ETIMEDOUT, Faults.ENOBUFS})
     void clientDisconnectIsDetectedDespiteReadErrors(int error) throws Exception {
         // A host that never responds replaces the usual one, which then only records commands and closed connections.
-        rig.hosts.remove(host);
+        fixture.hosts.remove(host);
         try (FakeHost unresponsive = new FakeHost(connection -> {
             while (host.readCommand(connection) != null) {
                 assertTrue(connection.readLine() == null);
             }
             host.closedConnections.add("end");
         })) {
-            rig.hosts.add(unresponsive);
+            fixture.hosts.add(unresponsive);
             process.startAndAwaitServing();
             try (LineSocket client = process.connectClient()) {
                 assertEquals("MN", client.request("mn"));
--- a/src/test/java/eiderscale/net/CrossingsTest.java
+++ b/src/test/java/eiderscale/net/CrossingsTest.java
@@ -31,10 +31,10 @@
     }
 
     /** Applies a change of the host list that concerns these hosts only. */
-    private static void applyListDelta(BalancerFixture rig, String... targets) throws Exception {
+    private static void applyListDelta(BalancerFixture fixture, String... targets) throws Exception {
         String json = "{\"rev\":8,\"all\":false,\"targets\":[" + String.join(",", targets) + "]}";
-        HostList catalog = HostList.parse(Json.parse(json.getBytes()), rig.siteSettings());
-        rig.eventLoop.submit(() -> rig.node.onHostList(Api.ListMode.DELTA, catalog.members())).get();
+        HostList catalog = HostList.parse(Json.parse(json.getBytes()), fixture.siteSettings());
+        fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, catalog.members())).get();
     }
 
     // The end of a client connection.
@@ -46,14 +46,14 @@
     @Test
     void pipelinedCommandsOnAnOverLimitConnectionAreAllRefused() throws Exception {
         List<LineSocket> peers = new ArrayList<>();
-        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> null))) {
-            rig.maxSockets = 64;
-            rig.start();
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> null))) {
+            fixture.maxSockets = 64;
+            fixture.start();
             for (int i = 0; i < 21; i++) {
-                peers.add(rig.connectClient());
+                peers.add(fixture.connectClient());
                 assertEquals("MN", peers.get(i).request("mn"));
             }
-            try (LineSocket overLimit = rig.connectClient()) {
+            try (LineSocket overLimit = fixture.connectClient()) {
                 overLimit.write(nonIdempotentWrites("1", 9_000) + nonIdempotentWrites("2", 9_000));
                 assertEquals("SERVER_ERROR busy", overLimit.readLine());
                 assertEquals("SERVER_ERROR busy", overLimit.readLine());
@@ -70,11 +70,11 @@
     @Test
     void inputAfterOurFinDoesNotDestroyTheReplyInTransit() throws Exception {
         String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
-        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> FakeHost.valueResponse(c, value))).start();
-                LineSocket client = rig.connectClientWithSmallBuffer()) {
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> FakeHost.valueResponse(c, value))).start();
+                LineSocket client = fixture.connectClientWithSmallBuffer()) {
             client.write(BalancerFixture.READ + "\r\nquit\r\n");
-            rig.hosts.get(0).awaitCommand();
-            ServingTest.awaitGauges(rig, "open 0 ");
+            fixture.hosts.get(0).awaitCommand();
+            ServingTest.awaitGauges(fixture, "open 0 ");
             for (int i = 0; i < 20; i++) {
                 client.write("mg crossing\r\n");
             }
@@ -100,16 +100,16 @@
     }
 
     private static void assertDisconnectDetectedBehind(int commands) throws Exception {
-        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> null))) {
-            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> null))) {
+            fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write(nonIdempotentWrites(commands, LONG_TIMEOUT_MS));
-                ServingTest.awaitGauges(rig, "open 64 ");
+                ServingTest.awaitGauges(fixture, "open 64 ");
             }
-            ServingTest.awaitGauges(rig, "open 0 ");
-            ServingTest.awaitGauges(rig, "clients 0 ");
-            assertTrue(rig.hosts.get(0).receivedCommands.size() <= 64, "buffered commands must not be sent");
+            ServingTest.awaitGauges(fixture, "open 0 ");
+            ServingTest.awaitGauges(fixture, "clients 0 ");
+            assertTrue(fixture.hosts.get(0).receivedCommands.size() <= 64, "buffered commands must not be sent");
         }
     }
 
@@ -121,12 +121,12 @@
     void commandsBeyondTheBufferLimitAreRefusedInOrder() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeHost host = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
-        try (BalancerFixture rig = new BalancerFixture(host)) {
-            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host)) {
+            fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write(nonIdempotentWrites(OVERSIZED_PIPELINE, LONG_TIMEOUT_MS));
-                while (rejectedCommandCount(rig) == 0) {
+                while (rejectedCommandCount(fixture) == 0) {
                     Thread.onSpinWait();
                 }
                 release.countDown();
@@ -149,8 +149,8 @@
     }
 
     /** The number of commands rejected so far because the limits on buffered input were exceeded. */
-    private static long rejectedCommandCount(BalancerFixture rig) throws Exception {
-        String gauges = rig.eventLoop.submit(rig.node::gauges).get();
+    private static long rejectedCommandCount(BalancerFixture fixture) throws Exception {
+        String gauges = fixture.eventLoop.submit(fixture.node::gauges).get();
         return Long.parseLong(gauges.replaceAll(".* shed (\\d+) .*", "$1"));
     }
 
@@ -169,12 +169,12 @@
      */
     @Test
     void noAttemptIsSentIfTheEndOfStreamIsReadWithTheCommand() throws Exception {
-        try (BalancerFixture rig = new BalancerFixture(FakeHost.serving()).start()) {
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.serving()).start()) {
             CountDownLatch resumeLoop = new CountDownLatch(1);
-            try (LineSocket client = rig.connectClient(); LineSocket other = rig.connectClient()) {
+            try (LineSocket client = fixture.connectClient(); LineSocket other = fixture.connectClient()) {
                 assertEquals("MN", client.request("mn"));
                 assertEquals("MN", other.request("mn"));
-                rig.eventLoop.execute(() -> {
+                fixture.eventLoop.execute(() -> {
                     try {
                         resumeLoop.await();
                     } catch (InterruptedException e) {
@@ -185,8 +185,8 @@
                 resumeLoop.countDown();
                 assertEquals("HD O2 c77", other.request(BalancerFixture.NON_IDEMPOTENT_WRITE));
             }
-            assertTrue(rig.hosts.get(0).awaitCommand().contains(" O2 "), "the first command that the host received");
-            assertTrue(rig.hosts.get(0).receivedCommands.isEmpty(), "the host must receive no other command");
+            assertTrue(fixture.hosts.get(0).awaitCommand().contains(" O2 "), "the first command that the host received");
+            assertTrue(fixture.hosts.get(0).receivedCommands.isEmpty(), "the host must receive no other command");
         }
     }
 
@@ -195,9 +195,9 @@
     void bufferedCommandsAreServedOnceEarlierOnesComplete() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeHost host = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
-        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             client.write(nonIdempotentWrites(100, 9_000) + "quit\r\n");
-            ServingTest.awaitGauges(rig, "open 64 ");
+            ServingTest.awaitGauges(fixture, "open 64 ");
             release.countDown();
             for (int i = 0; i < 100; i++) {
                 assertEquals("HD O" + i + " c77", client.readLine());
@@ -214,14 +214,14 @@
      */
     @Test
     void aStopAnswersOpenRequestsAndRefusesNewOnes() throws Exception {
-        try (BalancerFixture rig = new BalancerFixture(FakeHost.responding(c -> null))) {
-            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> null))) {
+            fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write(nonIdempotentWrites("1", LONG_TIMEOUT_MS));
-                rig.hosts.get(0).awaitCommand();
-                Future<?> stopped = rig.eventLoop.submit(rig.node::stop).get();
-                awaitConnectionRefused(rig);
+                fixture.hosts.get(0).awaitCommand();
+                Future<?> stopped = fixture.eventLoop.submit(fixture.node::stop).get();
+                awaitConnectionRefused(fixture);
                 client.write(nonIdempotentWrites("2", LONG_TIMEOUT_MS) + nonIdempotentWrites("3", LONG_TIMEOUT_MS));
                 assertEquals("SERVER_ERROR failed", client.readLine(), "the request may have run");
                 assertEquals("SERVER_ERROR busy", client.readLine());
@@ -229,7 +229,7 @@
                 assertNull(client.readLine());
                 client.disconnect();
                 assertTrue(stopped.await(LineSocket.TIMEOUT_MS));
-                assertEquals(0, rig.hosts.get(0).receivedCommands.size(), "no other command may be sent");
+                assertEquals(0, fixture.hosts.get(0).receivedCommands.size(), "no other command may be sent");
             }
         }
     }
@@ -243,14 +243,14 @@
         CountDownLatch release = new CountDownLatch(1);
         FakeHost host = FakeHost.responding(command -> command.contains(" O0 ")
                 ? FakeHost.responseAfter(release, command) : FakeHost.responseTo(command));
-        try (BalancerFixture rig = new BalancerFixture(host)) {
-            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host)) {
+            fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write(nonIdempotentWrites(100, LONG_TIMEOUT_MS));
-                ServingTest.awaitGauges(rig, "open 1 ");
-                rig.eventLoop.submit(rig.node::stop).get();
-                awaitConnectionRefused(rig);
+                ServingTest.awaitGauges(fixture, "open 1 ");
+                fixture.eventLoop.submit(fixture.node::stop).get();
+                awaitConnectionRefused(fixture);
                 release.countDown();
                 for (int i = 0; i < 64; i++) {
                     assertEquals("HD O" + i + " c77", client.readLine());
@@ -264,11 +264,11 @@
     }
 
     /** Waits until the balancer no longer listens. */
-    private static void awaitConnectionRefused(BalancerFixture rig) throws InterruptedException {
+    private static void awaitConnectionRefused(BalancerFixture fixture) throws InterruptedException {
         long deadline = System.nanoTime() + LineSocket.TIMEOUT_MS * 1_000_000L;
         while (System.nanoTime() < deadline) {
             try {
-                rig.connectClient().close();
+                fixture.connectClient().close();
                 Thread.sleep(2);
             } catch (IOException e) {
                 return;
@@ -320,8 +320,8 @@
             peer.write(FakeHost.responseTo(readCommand(peer)) + "SERVER_ERROR busy\r\n");
             serveAllCommands(peer);
         }, CrossingsTest::serveAllCommands);
-        try (BalancerFixture rig = new BalancerFixture(host)) {
-            rig.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
+        try (BalancerFixture fixture = new BalancerFixture(host)) {
+            fixture.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
                 private final List<Long> requestIds = new ArrayList<>();
                 private long serverId;
 
@@ -347,8 +347,8 @@
                     }
                 }
             };
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write("mg 1 v O1 Pc=read,t=acme,d=9000\r\nmg 2 v O2 Pc=read,t=acme,d=9000\r\n");
                 assertEquals("VA 1 O1", client.readLine());
                 client.readData(1);
@@ -368,7 +368,7 @@
             readCommand(peer);
             peer.write("SERVER_ERROR busy\r\n");
         }, CrossingsTest::serveAllCommands);
-        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             client.write(nonIdempotentWrites("1", 9_000));
             assertEquals("HD O1 c77", client.readLine());
             client.write(nonIdempotentWrites("2", 9_000));
@@ -383,7 +383,7 @@
             peer.write(FakeHost.responseTo(readCommand(peer)) + "VA 5 ");
             serveAllCommands(peer);
         }, CrossingsTest::serveAllCommands);
-        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             assertEquals("HD O3 c77", client.request(BalancerFixture.DEDUPLICATED_WRITE.replace(" 5 ", " 1 ").replace("hello", "h")));
             assertEquals("VA 16 O1", client.request(BalancerFixture.READ));
             client.readData(16);
@@ -404,11 +404,11 @@
             }
             peer.write("VA 5 ");
         });
-        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             assertEquals("VA 16 O1", client.request(BalancerFixture.READ));
-            ServingTest.awaitGauges(rig, " idle 1");
+            ServingTest.awaitGauges(fixture, " idle 1");
             isIdle.countDown();
-            ServingTest.awaitGauges(rig, " links 0 ");
+            ServingTest.awaitGauges(fixture, " links 0 ");
         }
     }
 
@@ -421,14 +421,14 @@
     @Test
     void aConnectionToAHostsFormerAddressIsNotUsed() throws Exception {
         try (SlowConnectTest.HostWithFullAcceptQueue oldHost = new SlowConnectTest.HostWithFullAcceptQueue(); FakeHost newHost = FakeHost.serving();
-                BalancerFixture rig = new BalancerFixture()) {
-            rig.extraTargetsJson.add(oldHost.target());
-            rig.connectTimeoutMs = LineSocket.TIMEOUT_MS;
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+                BalancerFixture fixture = new BalancerFixture()) {
+            fixture.extraTargetsJson.add(oldHost.target());
+            fixture.connectTimeoutMs = LineSocket.TIMEOUT_MS;
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write(nonIdempotentWrites("1", 15_000));
-                ServingTest.awaitGauges(rig, " links 1 ");
-                applyListDelta(rig, BalancerFixture.targetJson("s-full", newHost.endpoint(), "Ready"));
+                ServingTest.awaitGauges(fixture, " links 1 ");
+                applyListDelta(fixture, BalancerFixture.targetJson("s-full", newHost.endpoint(), "Ready"));
                 try (LineSocket peer = oldHost.acceptAfterQueued()) {
                     assertNull(peer.readLine(), "the connection must be closed without a command");
                 }
@@ -443,10 +443,10 @@
     @Test
     void idleConnectionsToARestartedHostAreClosed() throws Exception {
         FakeHost host = FakeHost.serving();
-        try (BalancerFixture rig = new BalancerFixture(host).start(); LineSocket client = rig.connectClient()) {
+        try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             assertEquals("HD O3 c77", client.request(BalancerFixture.DEDUPLICATED_WRITE));
-            ServingTest.awaitGauges(rig, " idle 1");
-            applyListDelta(rig, BalancerFixture.targetJson("s-0", host.endpoint(), "Ready").replace("\"boot_ms\":0", "\"boot_ms\":5"));
+            ServingTest.awaitGauges(fixture, " idle 1");
+            applyListDelta(fixture, BalancerFixture.targetJson("s-0", host.endpoint(), "Ready").replace("\"boot_ms\":0", "\"boot_ms\":5"));
             assertEquals("end", host.awaitConnectionClosed());
         }
     }
@@ -459,19 +459,19 @@
      */
     @Test
     void anUnwrittenRequestOfADisconnectedClientIsNotSentThoughCancellingIsForbidden() throws Exception {
-        try (SlowConnectTest.HostWithFullAcceptQueue host = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture rig = new BalancerFixture()) {
-            rig.extraTargetsJson.add(host.target());
-            rig.connectTimeoutMs = LONG_TIMEOUT_MS;
-            rig.mayCancelAttempts = false;
-            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
-            rig.start();
-            try (LineSocket disconnecting = rig.connectClient()) {
+        try (SlowConnectTest.HostWithFullAcceptQueue host = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture fixture = new BalancerFixture()) {
+            fixture.extraTargetsJson.add(host.target());
+            fixture.connectTimeoutMs = LONG_TIMEOUT_MS;
+            fixture.mayCancelAttempts = false;
+            fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
+            fixture.start();
+            try (LineSocket disconnecting = fixture.connectClient()) {
                 disconnecting.write(nonIdempotentWrites("left", LONG_TIMEOUT_MS));
-                ServingTest.awaitGauges(rig, " links 1 ");
+                ServingTest.awaitGauges(fixture, " links 1 ");
             }
-            ServingTest.awaitGauges(rig, "open 0 ledger 0 ");
-            try (LineSocket peer = host.acceptAfterQueued(); LineSocket client = rig.connectClient()) {
-                ServingTest.awaitGauges(rig, " idle 1");
+            ServingTest.awaitGauges(fixture, "open 0 ledger 0 ");
+            try (LineSocket peer = host.acceptAfterQueued(); LineSocket client = fixture.connectClient()) {
+                ServingTest.awaitGauges(fixture, " idle 1");
                 client.write(nonIdempotentWrites("stays", 9_000));
                 assertTrue(peer.readLine().contains(" Ostays "), "the first command on the connection");
             }
@@ -486,12 +486,12 @@
     void anUnwrittenHedgedRequestIsNotSentThoughCancellingIsForbidden() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeHost slowHost = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
-        try (SlowConnectTest.HostWithFullAcceptQueue fullHost = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture rig = new BalancerFixture(slowHost)) {
-            rig.extraTargetsJson.add(fullHost.target());
-            rig.connectTimeoutMs = LONG_TIMEOUT_MS;
-            rig.mayCancelAttempts = false;
-            rig.requestDeadlineMs = LONG_TIMEOUT_MS;
-            rig.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
+        try (SlowConnectTest.HostWithFullAcceptQueue fullHost = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture fixture = new BalancerFixture(slowHost)) {
+            fixture.extraTargetsJson.add(fullHost.target());
+            fixture.connectTimeoutMs = LONG_TIMEOUT_MS;
+            fixture.mayCancelAttempts = false;
+            fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
+            fixture.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
                 private List<Api.Server> knownServers = List.of();
 
                 @Override
@@ -504,15 +504,15 @@
                     knownServers.forEach(server -> actions.send(request.id(), server.id(), 0));
                 }
             };
-            rig.start();
-            try (LineSocket client = rig.connectClient()) {
+            fixture.start();
+            try (LineSocket client = fixture.connectClient()) {
                 client.write(BalancerFixture.READ.replace("d=5000", "d=" + LONG_TIMEOUT_MS) + "\r\n");
-                ServingTest.awaitGauges(rig, " links 2 ");
+                ServingTest.awaitGauges(fixture, " links 2 ");
                 release.countDown();
                 assertEquals("VA 16 O1", client.readLine());
-                ServingTest.awaitGauges(rig, "open 0 ledger 0 ");
+                ServingTest.awaitGauges(fixture, "open 0 ledger 0 ");
                 try (LineSocket peer = fullHost.acceptAfterQueued()) {
-                    ServingTest.awaitGauges(rig, " idle 2");
+                    ServingTest.awaitGauges(fixture, " idle 2");
                     client.write("mg 2 v Onext Pc=read,t=acme,d=9000\r\n");
                     assertTrue(peer.readLine().contains(" Onext "), "the first command on the connection");
                 }
--- a/src/test/java/eiderscale/net/FaultInjectionTestBase.java
+++ b/src/test/java/eiderscale/net/FaultInjectionTestBase.java
@@ -22,7 +22,7 @@
     Faults faults;
     FakeHost host;
     DiscoveryServer discovery;
-    BalancerFixture rig;
+    BalancerFixture fixture;
     BalancerProcess process;
 
     @BeforeEach
@@ -30,17 +30,17 @@
         faults = new Faults(directory);
         host = FakeHost.serving();
         discovery = new DiscoveryServer();
-        rig = new BalancerFixture(host);
-        rig.allowedRequestsPerSecond = 100;
-        rig.discoveryEndpoint = discovery.endpoint();
-        process = new BalancerProcess(directory, rig, faults);
+        fixture = new BalancerFixture(host);
+        fixture.allowedRequestsPerSecond = 100;
+        fixture.discoveryEndpoint = discovery.endpoint();
+        process = new BalancerProcess(directory, fixture, faults);
     }
 
     @AfterEach
     void tearDown() throws IOException {
         process.close();
         discovery.close();
-        rig.close();
+        fixture.close();
     }
 
     /** Waits until discovery has handled this many calls since it started. */
--- a/src/test/java/eiderscale/net/SoakBalancer.java
+++ b/src/test/java/eiderscale/net/SoakBalancer.java
@@ -30,7 +30,7 @@
     private final int number;
     private final SplittableRandom random;
     private final SoakInvariantChecker checker;
-    private final BalancerFixture rig;
+    private final BalancerFixture fixture;
     private final Path directory;
     private final Faults faults;
     private final SoakFaultSchedule faultSchedule;
@@ -45,23 +45,23 @@
     private int restartCount;
 
     /**
-     * {@code number}: names the balancer in the trace; {@code rig}: supplies settings and hosts;
+     * {@code number}: names the balancer in the trace; {@code fixture}: supplies settings and hosts;
      * {@code hasIdleClients}: whether {@link #IDLE_CLIENT_COUNT} clients that send nothing hold most of its
      * connections.
      */
-    SoakBalancer(int number, Path directory, BalancerFixture rig, SoakInvariantChecker checker, boolean hasIdleClients,
+    SoakBalancer(int number, Path directory, BalancerFixture fixture, SoakInvariantChecker checker, boolean hasIdleClients,
             SplittableRandom random) throws IOException, InterruptedException {
         this.number = number;
         this.directory = directory;
-        this.rig = rig;
+        this.fixture = fixture;
         this.checker = checker;
         this.hasIdleClients = hasIdleClients;
         this.random = random;
         this.faults = new Faults(directory);
-        int[] hostPorts = rig.hosts.stream().mapToInt(host -> Integer.parseInt(host.endpoint().split(":")[1]))
+        int[] hostPorts = fixture.hosts.stream().mapToInt(host -> Integer.parseInt(host.endpoint().split(":")[1]))
                 .toArray();
         this.faultSchedule = new SoakFaultSchedule(faults, random.split(), hostPorts);
-        rig.discoveryEndpoint = discoveries[0].endpoint();
+        fixture.discoveryEndpoint = discoveries[0].endpoint();
     }
 
     private void addToTrace(String event) {
@@ -123,7 +123,7 @@
             addToTrace("starts with fault: " + faultSchedule.latestFault());
         }
         currentRun = new ProcessRun();
-        BalancerProcess process = new BalancerProcess(directory, rig, faults, port);
+        BalancerProcess process = new BalancerProcess(directory, fixture, faults, port);
         processes.add(process);
         process.startAndAwaitServing();
         addToTrace("serves");
@@ -185,7 +185,7 @@
     }
 
     private void reload() throws Exception {
-        rig.discoveryEndpoint = discoveries[random.nextInt(2)].endpoint();
+        fixture.discoveryEndpoint = discoveries[random.nextInt(2)].endpoint();
         faultSchedule.failConfigReads();
         addToTrace("SIGHUP");
         currentProcess().reload();
@@ -201,7 +201,7 @@
         for (int i = random.nextInt(3); i > 0 && process.isAlive(); i--) {
             process.sendSignal(random.nextBoolean() ? "TERM" : "HUP");
         }
-        long killAt = signalledAt + rig.requestDeadlineMs * Clock.MILLISECOND + KILL_MARGIN_NS;
+        long killAt = signalledAt + fixture.requestDeadlineMs * Clock.MILLISECOND + KILL_MARGIN_NS;
         while (process.isAlive() && System.nanoTime() < killAt) {
             LockSupport.parkNanos(5 * Clock.MILLISECOND);
         }
--- a/src/test/java/eiderscale/net/SoakScenario.java
+++ b/src/test/java/eiderscale/net/SoakScenario.java
@@ -75,7 +75,7 @@
         try {
             for (int i = 0; i < count; i++) {
                 Path balancerDirectory = Files.createDirectory(directory.resolve("n" + i));
-                balancers.add(new SoakBalancer(i, balancerDirectory, newRig(listMode), checker, hasIdleClients(),
+                balancers.add(new SoakBalancer(i, balancerDirectory, newFixture(listMode), checker, hasIdleClients(),
                         random.split()));
             }
             runSoak();
@@ -90,16 +90,16 @@
         return checker.violations();
     }
 
-    private BalancerFixture newRig(String listMode) {
-        BalancerFixture rig = new BalancerFixture(hosts.toArray(FakeHost[]::new));
-        rig.allowedRequestsPerSecond = 100;
-        rig.requestDeadlineMs = REQUEST_TIMEOUT_MS;
-        rig.drainGraceMs = DRAIN_GRACE_MS;
-        rig.connectTimeoutMs = 250;
-        rig.hostIdleTimeoutMs = 3_000;
-        rig.maxSockets = hasIdleClients() ? MAX_SOCKETS_WITH_IDLE_CLIENTS : 1024;
-        rig.discoveryMode = listMode;
-        return rig;
+    private BalancerFixture newFixture(String listMode) {
+        BalancerFixture fixture = new BalancerFixture(hosts.toArray(FakeHost[]::new));
+        fixture.allowedRequestsPerSecond = 100;
+        fixture.requestDeadlineMs = REQUEST_TIMEOUT_MS;
+        fixture.drainGraceMs = DRAIN_GRACE_MS;
+        fixture.connectTimeoutMs = 250;
+        fixture.hostIdleTimeoutMs = 3_000;
+        fixture.maxSockets = hasIdleClients() ? MAX_SOCKETS_WITH_IDLE_CLIENTS : 1024;
+        fixture.discoveryMode = listMode;
+        return fixture;
     }
 
     private void runSoak() throws Exception {
--- a/src/test/java/eiderscale/net/StartupTest.java
+++ b/src/test/java/eiderscale/net/StartupTest.java
@@ -10,7 +10,7 @@
     /** An automatic watch is expected to know discovery's list from the start, even if discovery responds late. */
     @Test
     void automaticWatchGetsTheLatestListBeforeClientsAreServed() throws Exception {
-        rig.discoveryMode = "automatic";
+        fixture.discoveryMode = "automatic";
         discovery.queueDelayNs(600 * Clock.MILLISECOND);
         discovery.setHostState("s-0", host.endpoint(), "Terminating");
         process.startAndAwaitServing();
@@ -20,8 +20,8 @@
     /** A first call with the usual long-poll timeout would delay every start by that time. */
     @Test
     void startupDoesNotWaitForChangesWhenTheConfiguredListIsTheLatest() throws Exception {
-        rig.discoveryMode = "automatic";
-        rig.initialRevision = discovery.revision();
+        fixture.discoveryMode = "automatic";
+        fixture.initialRevision = discovery.revision();
         process.startAndAwaitServing();
         assertEquals(discovery.revision(), discovery.latestSentRevision());
         assertTrue(process.hasLogged("first list"));
@@ -29,7 +29,7 @@
 
     @Test
     void startupDoesNotWaitForUnresponsiveDiscovery() throws Exception {
-        rig.discoveryMode = "automatic";
+        fixture.discoveryMode = "automatic";
         discovery.ignoreNext(1_000);
         process.startAndAwaitServing();
         try (LineSocket client = process.connectClient()) {
--- a/src/test/java/eiderscale/net/SystemCallFaultsTest.java
+++ b/src/test/java/eiderscale/net/SystemCallFaultsTest.java
@@ -27,7 +27,7 @@
     @ParameterizedTest
     @CsvSource({"subscribe,105", "subscribe,23", "automatic,105", "automatic,23"})
     void aFailedSocketCallDoesNotEndTheHostListWatch(String listMode, int error) throws Exception {
-        rig.discoveryMode = listMode;
+        fixture.discoveryMode = listMode;
         process.startAndAwaitServing();
         awaitDiscoveryCalls(1);
         faults.fail(Call.SOCKET, error, 3);
@@ -243,7 +243,7 @@
         process.startAndAwaitServing();
         awaitDiscoveryCalls(1);
         try (DiscoveryServer newDiscovery = new DiscoveryServer()) {
-            rig.discoveryEndpoint = newDiscovery.endpoint();
+            fixture.discoveryEndpoint = newDiscovery.endpoint();
             faults.fail(Call.valueOf(call), Faults.EIO, 3);
             process.reload();
             faults.awaitFailureCount(Call.valueOf(call), 3);
@@ -257,7 +257,7 @@
         process.startAndAwaitServing();
         awaitDiscoveryCalls(1);
         try (DiscoveryServer newDiscovery = new DiscoveryServer()) {
-            rig.discoveryEndpoint = newDiscovery.endpoint();
+            fixture.discoveryEndpoint = newDiscovery.endpoint();
             String config = process.config();
             Files.writeString(process.configFile(), config.substring(0, config.length() / 2));
             process.sendSignal("HUP");
@@ -380,7 +380,7 @@
         discovery.setHostState("s-1", host.endpoint(), "Ready");
         awaitLatestListSent();
         try (DiscoveryServer newDiscovery = new DiscoveryServer()) {
-            rig.discoveryEndpoint = newDiscovery.endpoint();
+            fixture.discoveryEndpoint = newDiscovery.endpoint();
             process.reload();
             process.awaitLogLine("keeping the current configuration");
             faults.clear(Call.ANY_FILE_READ);
@@ -470,7 +470,7 @@
     /** A warm-up whose calls fail could hang, but a balancer has to be ready within ten seconds of its start. */
     @Test
     void callsThatFailDuringWarmUpDoNotDelayTheStart() throws Exception {
-        rig.allowedRequestsPerSecond = 100_000;
+        fixture.allowedRequestsPerSecond = 100_000;
         faults.fail(Call.ACCEPT, Faults.ENFILE, 3);
         faults.failRandomly(Call.READ, Faults.ETIMEDOUT, 30, 11);
         long startedAt = System.nanoTime();
