--- a/src/test/java/eiderscale/net/BadInputTest.java
+++ b/src/test/java/eiderscale/net/BadInputTest.java
@@ -72,8 +72,8 @@
                 assertEquals("MN", client.request("mn"));
                 stalled.setReadTimeout(3_000);
                 assertEquals("MN", stalled.request("mn"));
-                assertEquals("HD O2 c77", stalled
-                        .write(BalancerFixture.NON_IDEMPOTENT_WRITE + "\r\n" + partialCommand).readLine());
+                assertEquals("HD O2 c77",
+                        stalled.write(BalancerFixture.NON_IDEMPOTENT_WRITE + "\r\n" + partialCommand).readLine());
                 assertEquals("CLIENT_ERROR incomplete command", stalled.readLine());
                 assertEquals(null, stalled.readLine());
                 assertEquals("HD O2 c77", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE),
--- a/src/test/java/eiderscale/net/BalancerFixture.java
+++ b/src/test/java/eiderscale/net/BalancerFixture.java
@@ -11,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.concurrent.TimeUnit;
 
 /**
  * Test fixture: a configuration that a test may modify through the fields, and a balancer that runs with it in this
@@ -21,7 +22,7 @@
     static final String READ = "mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d=5000";
     /** A write that must not be executed twice: class "copy", with its value. */
     static final String NON_IDEMPOTENT_WRITE = "ms 7f3a9c21e0b4d655 5 O2 Pc=copy,t=acme,d=5000\r\nhello";
-    /** A write whose repeats the hosts drop by its key {@code k}: class "put", with its value. */
+    /** A write that the hosts deduplicate by its key {@code k}: class "put", with its value. */
     static final String DEDUPLICATED_WRITE = "ms 7f3a9c21e0b4d655 5 O3 Pc=put,t=acme,d=5000,k=5c0f6e1a\r\nhello";
 
     /** Filled in by {@link #settingsJson}. */
@@ -62,9 +63,7 @@
     int maxSockets = 1024;
     /** The tenant's allowance. */
     int allowedRequestsPerSecond = 100_000;
-    /**
-     * How host lists are watched: "subscribe" from the decision module's subscription, "automatic" from the start.
-     */
+    /** How the host list is watched: "subscribe" once the decision module subscribes, "automatic" from the start. */
     String discoveryMode = "subscribe";
     /** Whether the balancer may abandon attempts that have been sent ({@code cancelling}). */
     boolean mayCancelAttempts = true;
@@ -90,8 +89,8 @@
 
     String settingsJson() {
         return String.format(Locale.ROOT, SETTINGS_TEMPLATE, requestDeadlineMs, hostIdleTimeoutMs, connectTimeoutMs,
-                maxOpenRequests, drainGraceMs * Clock.MILLISECOND, allowedRequestsPerSecond,
-                discoveryMode, mayCancelAttempts);
+                maxOpenRequests, drainGraceMs * Clock.MILLISECOND, allowedRequestsPerSecond, discoveryMode,
+                mayCancelAttempts);
     }
 
     /** The configuration file: the hosts and settings of this fixture, and the address to listen on. */
@@ -103,8 +102,7 @@
         return "{\"name\":\"n1\",\"listen\":\"" + listenEndpoint + "\",\"discovery\":\"" + discoveryEndpoint
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
                 + maxSockets + "},\"known\":{\"rev\":" + initialRevision + ",\"all\":true,\"targets\":["
-                + String.join(",", targets)
-                + "]},\"settings\":" + settingsJson() + "}";
+                + String.join(",", targets) + "]},\"settings\":" + settingsJson() + "}";
     }
 
     SiteSettings siteSettings() {
@@ -138,7 +136,7 @@
     @Override
     public void close() throws IOException {
         if (eventLoopGroup != null) {
-            eventLoopGroup.shutdownGracefully(0, 0, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
+            eventLoopGroup.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         }
         for (FakeHost host : hosts) {
             host.close();
--- a/src/test/java/eiderscale/net/BalancerProcess.java
+++ b/src/test/java/eiderscale/net/BalancerProcess.java
@@ -26,8 +26,8 @@
     private volatile boolean isLogComplete;
 
     /**
-     * Listens on a free port. {@code directory}: where the configuration file is written; {@code fixture}: supplies hosts
-     * and settings; {@code faults}: the faults to preload, null for none.
+     * Listens on a free port. {@code directory}: where the configuration file is written; {@code fixture}: supplies
+     * hosts and settings; {@code faults}: the faults to preload, null for none.
      */
     BalancerProcess(Path directory, BalancerFixture fixture, Faults faults) throws IOException {
         this(directory, fixture, faults, FreePort.allocate());
--- a/src/test/java/eiderscale/net/ConnectionFaultsTest.java
+++ b/src/test/java/eiderscale/net/ConnectionFaultsTest.java
@@ -128,8 +128,8 @@
             client.write(BalancerFixture.READ + "\r\n");
             Await.until(() -> System.nanoTime() - startedAt > 600 * Clock.MILLISECOND, "600 ms to pass");
             faults.clear(Call.READ);
-            int forwardedMs = Integer.parseInt(host.awaitCommand().replaceAll(".*d=([0-9]+).*", "$1"));
-            assertTrue(forwardedMs <= 4_400 + 150, "forwarded with d=" + forwardedMs);
+            int statedTimeoutMs = Integer.parseInt(host.awaitCommand().replaceAll(".*d=([0-9]+).*", "$1"));
+            assertTrue(statedTimeoutMs <= 4_400 + 150, "forwarded with d=" + statedTimeoutMs);
             assertEquals("VA 16 O1", client.readLine());
         }
     }
--- a/src/test/java/eiderscale/net/CrossingsTest.java
+++ b/src/test/java/eiderscale/net/CrossingsTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import eiderscale.Api;
+import eiderscale.net.SlowConnectTest.HostWithFullAcceptQueue;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -19,39 +20,39 @@
  * that each order of the events is forced.
  */
 class CrossingsTest {
-    /** A command with an opaque and a timeout, of a request class that must not run twice. */
-    private static final String NON_IDEMPOTENT_WRITE = "ms 1 1 O%s Pc=copy,t=acme,d=%d\r\nx\r\n";
+    /** A write of a request class that must not run twice, with its value; opaque and timeout are filled in. */
+    private static final String NON_IDEMPOTENT_WRITE_FORMAT = "ms 1 1 O%s Pc=copy,t=acme,d=%d\r\nx\r\n";
     private static final int LONG_TIMEOUT_MS = 60_000;
-    /** A number of commands of some 40 bytes: several times the input that is buffered per connection. */
-    private static final int OVERSIZED_PIPELINE = 20_000;
+    /** This many commands of some 40 bytes are several times the input that is buffered per connection. */
+    private static final int OVERSIZED_PIPELINE_LENGTH = 20_000;
 
-    /** One such command. */
+    /** A single write with this opaque. */
     private static String nonIdempotentWrites(String opaque, int timeoutMs) {
-        return String.format(NON_IDEMPOTENT_WRITE, opaque, timeoutMs);
+        return String.format(NON_IDEMPOTENT_WRITE_FORMAT, opaque, timeoutMs);
     }
 
     /** Applies a change of the host list that concerns these hosts only. */
-    private static void applyListDelta(BalancerFixture fixture, String... targets) throws Exception {
-        String json = "{\"rev\":8,\"all\":false,\"targets\":[" + String.join(",", targets) + "]}";
-        HostList catalog = HostList.parse(Json.parse(json.getBytes()), fixture.siteSettings());
-        fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, catalog.members())).get();
+    private static void applyListDelta(BalancerFixture fixture, String... targetsJson) throws Exception {
+        String json = "{\"rev\":8,\"all\":false,\"targets\":[" + String.join(",", targetsJson) + "]}";
+        HostList hostList = HostList.parse(Json.parse(json.getBytes()), fixture.siteSettings());
+        fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, hostList.members())).get();
     }
 
     // The end of a client connection.
 
     /**
      * Guards against closing a connection above the connection limit after its first refusal while another command,
-     * received with the first, is unanswered.
+     * received with the first, has no reply yet.
      */
     @Test
     void pipelinedCommandsOnAnOverLimitConnectionAreAllRefused() throws Exception {
-        List<LineSocket> peers = new ArrayList<>();
-        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> null))) {
+        List<LineSocket> clients = new ArrayList<>();
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(command -> null))) {
             fixture.maxSockets = 64;
             fixture.start();
             for (int i = 0; i < 21; i++) {
-                peers.add(fixture.connectClient());
-                assertEquals("MN", peers.get(i).request("mn"));
+                clients.add(fixture.connectClient());
+                assertEquals("MN", clients.get(i).request("mn"));
             }
             try (LineSocket overLimit = fixture.connectClient()) {
                 overLimit.write(nonIdempotentWrites("1", 9_000) + nonIdempotentWrites("2", 9_000));
@@ -60,8 +61,8 @@
                 assertNull(overLimit.readLine());
             }
         } finally {
-            for (LineSocket peer : peers) {
-                peer.close();
+            for (LineSocket client : clients) {
+                client.close();
             }
         }
     }
@@ -70,7 +71,8 @@
     @Test
     void inputAfterOurFinDoesNotDestroyTheReplyInTransit() throws Exception {
         String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
-        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> FakeHost.valueResponse(c, value))).start();
+        try (BalancerFixture fixture = new BalancerFixture(
+                FakeHost.responding(command -> FakeHost.valueResponse(command, value))).start();
                 LineSocket client = fixture.connectClientWithSmallBuffer()) {
             client.write(BalancerFixture.READ + "\r\nquit\r\n");
             fixture.hosts.get(0).awaitCommand();
@@ -96,11 +98,11 @@
      */
     @Test
     void aDisconnectIsDetectedBehindMoreInputThanIsBuffered() throws Exception {
-        assertDisconnectDetectedBehind(OVERSIZED_PIPELINE);
+        assertDisconnectDetectedBehind(OVERSIZED_PIPELINE_LENGTH);
     }
 
     private static void assertDisconnectDetectedBehind(int commands) throws Exception {
-        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> null))) {
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(command -> null))) {
             fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
             fixture.start();
             try (LineSocket client = fixture.connectClient()) {
@@ -125,14 +127,14 @@
             fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
             fixture.start();
             try (LineSocket client = fixture.connectClient()) {
-                client.write(nonIdempotentWrites(OVERSIZED_PIPELINE, LONG_TIMEOUT_MS));
+                client.write(nonIdempotentWrites(OVERSIZED_PIPELINE_LENGTH, LONG_TIMEOUT_MS));
                 while (rejectedCommandCount(fixture) == 0) {
                     Thread.onSpinWait();
                 }
                 release.countDown();
                 int served = 0;
                 int refused = 0;
-                for (int i = 0; i < OVERSIZED_PIPELINE; i++) {
+                for (int i = 0; i < OVERSIZED_PIPELINE_LENGTH; i++) {
                     String reply = client.readLine();
                     if (reply.equals("SERVER_ERROR busy")) {
                         refused++;
@@ -143,7 +145,8 @@
                     }
                 }
                 assertTrue(served >= 64 && refused > 0, served + " served, " + refused + " refused");
-                assertEquals("HD O2 c77", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE), "the connection still works");
+                assertEquals("HD O2 c77", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE),
+                        "the connection still works");
             }
         }
     }
@@ -154,7 +157,7 @@
         return Long.parseLong(gauges.replaceAll(".* shed (\\d+) .*", "$1"));
     }
 
-    /** Several such commands, whose opaques are the numbers from 0. */
+    /** {@code count} writes, whose opaques are the numbers from 0. */
     private static String nonIdempotentWrites(int count, int timeoutMs) {
         StringBuilder commands = new StringBuilder();
         for (int i = 0; i < count; i++) {
@@ -185,7 +188,8 @@
                 resumeLoop.countDown();
                 assertEquals("HD O2 c77", other.request(BalancerFixture.NON_IDEMPOTENT_WRITE));
             }
-            assertTrue(fixture.hosts.get(0).awaitCommand().contains(" O2 "), "the first command that the host received");
+            assertTrue(fixture.hosts.get(0).awaitCommand().contains(" O2 "),
+                    "the first command that the host received");
             assertTrue(fixture.hosts.get(0).receivedCommands.isEmpty(), "the host must receive no other command");
         }
     }
@@ -210,11 +214,11 @@
 
     /**
      * A stop waits for open requests until the longest timeout, but at most 3 s, as the process is killed soon after.
-     * Then it has to answer them itself.
+     * Then the balancer has to send the replies to them itself.
      */
     @Test
     void aStopAnswersOpenRequestsAndRefusesNewOnes() throws Exception {
-        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(c -> null))) {
+        try (BalancerFixture fixture = new BalancerFixture(FakeHost.responding(command -> null))) {
             fixture.requestDeadlineMs = LONG_TIMEOUT_MS;
             fixture.start();
             try (LineSocket client = fixture.connectClient()) {
@@ -265,7 +269,7 @@
 
     /** Waits until the balancer no longer listens. */
     private static void awaitConnectionRefused(BalancerFixture fixture) throws InterruptedException {
-        long deadline = System.nanoTime() + LineSocket.TIMEOUT_MS * 1_000_000L;
+        long deadline = System.nanoTime() + LineSocket.TIMEOUT_MS * Clock.MILLISECOND;
         while (System.nanoTime() < deadline) {
             try {
                 fixture.connectClient().close();
@@ -281,31 +285,31 @@
 
     /** A host that runs the n-th script on its n-th connection, and the last one on all further connections. */
     private static FakeHost scriptedHost(FakeHost.ConnectionScript... scripts) throws IOException {
-        FakeHost[] self = new FakeHost[1];
-        self[0] = new FakeHost(peer -> {
-            int index = self[0].connectionCount.get() - 1;
-            scripts[Math.min(index, scripts.length - 1)].run(peer);
-            peer.awaitPeerClose();
-            self[0].closedConnections.add("end");
+        FakeHost[] host = new FakeHost[1];
+        host[0] = new FakeHost(connection -> {
+            int index = host[0].connectionCount.get() - 1;
+            scripts[Math.min(index, scripts.length - 1)].run(connection);
+            connection.awaitPeerClose();
+            host[0].closedConnections.add("end");
         });
-        return self[0];
+        return host[0];
     }
 
     /** Serves commands until the connection ends. */
-    private static void serveAllCommands(LineSocket peer) throws IOException {
-        for (String line = peer.readLine(); line != null; line = peer.readLine()) {
+    private static void serveAllCommands(LineSocket connection) throws IOException {
+        for (String line = connection.readLine(); line != null; line = connection.readLine()) {
             if (line.startsWith("ms ")) {
-                peer.readData(1);
+                connection.readData(1);
             }
-            peer.write(FakeHost.responseTo(line));
+            connection.write(FakeHost.responseTo(line));
         }
     }
 
     /** Reads a command with its data block, and returns its first line. */
-    private static String readCommand(LineSocket peer) throws IOException {
-        String line = peer.readLine();
+    private static String readCommand(LineSocket connection) throws IOException {
+        String line = connection.readLine();
         if (line != null && line.startsWith("ms ")) {
-            peer.readData(1);
+            connection.readData(1);
         }
         return line;
     }
@@ -316,9 +320,9 @@
      */
     @Test
     void aSecondResponseInTheSameReadIsNotMatchedToAnotherRequest() throws Exception {
-        FakeHost host = scriptedHost(peer -> {
-            peer.write(FakeHost.responseTo(readCommand(peer)) + "SERVER_ERROR busy\r\n");
-            serveAllCommands(peer);
+        FakeHost host = scriptedHost(connection -> {
+            connection.write(FakeHost.responseTo(readCommand(connection)) + "SERVER_ERROR busy\r\n");
+            serveAllCommands(connection);
         }, CrossingsTest::serveAllCommands);
         try (BalancerFixture fixture = new BalancerFixture(host)) {
             fixture.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
@@ -363,28 +367,30 @@
      */
     @Test
     void aLateSecondResponseIsNotMatchedToANonIdempotentWrite() throws Exception {
-        FakeHost host = scriptedHost(peer -> {
-            peer.write(FakeHost.responseTo(readCommand(peer)));
-            readCommand(peer);
-            peer.write("SERVER_ERROR busy\r\n");
+        FakeHost host = scriptedHost(connection -> {
+            connection.write(FakeHost.responseTo(readCommand(connection)));
+            readCommand(connection);
+            connection.write("SERVER_ERROR busy\r\n");
         }, CrossingsTest::serveAllCommands);
         try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             client.write(nonIdempotentWrites("1", 9_000));
             assertEquals("HD O1 c77", client.readLine());
             client.write(nonIdempotentWrites("2", 9_000));
-            assertEquals("HD O2 c77", client.readLine(), "the write must be sent on a connection with no recent response");
+            assertEquals("HD O2 c77", client.readLine(),
+                    "the write must be sent on a connection with no recent response");
         }
     }
 
     /** The rest of the partial response would be taken for the response to the next request on the connection. */
     @Test
     void aPartialSecondResponseClosesTheConnection() throws Exception {
-        FakeHost host = scriptedHost(peer -> {
-            peer.write(FakeHost.responseTo(readCommand(peer)) + "VA 5 ");
-            serveAllCommands(peer);
+        FakeHost host = scriptedHost(connection -> {
+            connection.write(FakeHost.responseTo(readCommand(connection)) + "VA 5 ");
+            serveAllCommands(connection);
         }, CrossingsTest::serveAllCommands);
         try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
-            assertEquals("HD O3 c77", client.request(BalancerFixture.DEDUPLICATED_WRITE.replace(" 5 ", " 1 ").replace("hello", "h")));
+            assertEquals("HD O3 c77",
+                    client.request(BalancerFixture.DEDUPLICATED_WRITE.replace(" 5 ", " 1 ").replace("hello", "h")));
             assertEquals("VA 16 O1", client.request(BalancerFixture.READ));
             client.readData(16);
             assertEquals(2, host.connectionCount.get());
@@ -394,20 +400,20 @@
     /** The same if the partial response arrives only when the connection is idle. */
     @Test
     void aLatePartialSecondResponseClosesTheIdleConnection() throws Exception {
-        CountDownLatch isIdle = new CountDownLatch(1);
-        FakeHost host = scriptedHost(peer -> {
-            peer.write(FakeHost.responseTo(readCommand(peer)));
+        CountDownLatch idleLatch = new CountDownLatch(1);
+        FakeHost host = scriptedHost(connection -> {
+            connection.write(FakeHost.responseTo(readCommand(connection)));
             try {
-                isIdle.await();
+                idleLatch.await();
             } catch (InterruptedException e) {
                 return;
             }
-            peer.write("VA 5 ");
+            connection.write("VA 5 ");
         });
         try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             assertEquals("VA 16 O1", client.request(BalancerFixture.READ));
             ServingTest.awaitGauges(fixture, " idle 1");
-            isIdle.countDown();
+            idleLatch.countDown();
             ServingTest.awaitGauges(fixture, " links 0 ");
         }
     }
@@ -420,7 +426,8 @@
      */
     @Test
     void aConnectionToAHostsFormerAddressIsNotUsed() throws Exception {
-        try (SlowConnectTest.HostWithFullAcceptQueue oldHost = new SlowConnectTest.HostWithFullAcceptQueue(); FakeHost newHost = FakeHost.serving();
+        try (HostWithFullAcceptQueue oldHost = new HostWithFullAcceptQueue();
+                FakeHost newHost = FakeHost.serving();
                 BalancerFixture fixture = new BalancerFixture()) {
             fixture.extraTargetsJson.add(oldHost.target());
             fixture.connectTimeoutMs = LineSocket.TIMEOUT_MS;
@@ -429,8 +436,8 @@
                 client.write(nonIdempotentWrites("1", 15_000));
                 ServingTest.awaitGauges(fixture, " links 1 ");
                 applyListDelta(fixture, BalancerFixture.targetJson("s-full", newHost.endpoint(), "Ready"));
-                try (LineSocket peer = oldHost.acceptAfterQueued()) {
-                    assertNull(peer.readLine(), "the connection must be closed without a command");
+                try (LineSocket connection = oldHost.acceptAfterQueued()) {
+                    assertNull(connection.readLine(), "the connection must be closed without a command");
                 }
                 assertEquals("SERVER_ERROR busy", client.readLine());
                 client.write(nonIdempotentWrites("2", 9_000));
@@ -439,14 +446,15 @@
         }
     }
 
-    /** The process at the other end no longer exists: a write on such a connection would be answered with a reset. */
+    /** The process at the other end no longer exists: a write on such a connection would get a reset. */
     @Test
     void idleConnectionsToARestartedHostAreClosed() throws Exception {
         FakeHost host = FakeHost.serving();
         try (BalancerFixture fixture = new BalancerFixture(host).start(); LineSocket client = fixture.connectClient()) {
             assertEquals("HD O3 c77", client.request(BalancerFixture.DEDUPLICATED_WRITE));
             ServingTest.awaitGauges(fixture, " idle 1");
-            applyListDelta(fixture, BalancerFixture.targetJson("s-0", host.endpoint(), "Ready").replace("\"boot_ms\":0", "\"boot_ms\":5"));
+            applyListDelta(fixture, BalancerFixture.targetJson("s-0", host.endpoint(), "Ready")
+                    .replace("\"boot_ms\":0", "\"boot_ms\":5"));
             assertEquals("end", host.awaitConnectionClosed());
         }
     }
@@ -459,7 +467,8 @@
      */
     @Test
     void anUnwrittenRequestOfADisconnectedClientIsNotSentThoughCancellingIsForbidden() throws Exception {
-        try (SlowConnectTest.HostWithFullAcceptQueue host = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture fixture = new BalancerFixture()) {
+        try (HostWithFullAcceptQueue host = new HostWithFullAcceptQueue();
+                BalancerFixture fixture = new BalancerFixture()) {
             fixture.extraTargetsJson.add(host.target());
             fixture.connectTimeoutMs = LONG_TIMEOUT_MS;
             fixture.mayCancelAttempts = false;
@@ -470,23 +479,24 @@
                 ServingTest.awaitGauges(fixture, " links 1 ");
             }
             ServingTest.awaitGauges(fixture, "open 0 ledger 0 ");
-            try (LineSocket peer = host.acceptAfterQueued(); LineSocket client = fixture.connectClient()) {
+            try (LineSocket connection = host.acceptAfterQueued(); LineSocket client = fixture.connectClient()) {
                 ServingTest.awaitGauges(fixture, " idle 1");
                 client.write(nonIdempotentWrites("stays", 9_000));
-                assertTrue(peer.readLine().contains(" Ostays "), "the first command on the connection");
+                assertTrue(connection.readLine().contains(" Ostays "), "the first command on the connection");
             }
         }
     }
 
     /**
-     * One of two attempts is answered while the connection for the other is being opened. The other cannot have run and
-     * must not be sent any more, even where cancelling is forbidden.
+     * One of two attempts gets its response while the connection for the other is being opened. The other cannot have
+     * run and must not be sent any more, even where cancelling is forbidden.
      */
     @Test
     void anUnwrittenHedgedRequestIsNotSentThoughCancellingIsForbidden() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         FakeHost slowHost = FakeHost.responding(command -> FakeHost.responseAfter(release, command));
-        try (SlowConnectTest.HostWithFullAcceptQueue fullHost = new SlowConnectTest.HostWithFullAcceptQueue(); BalancerFixture fixture = new BalancerFixture(slowHost)) {
+        try (HostWithFullAcceptQueue fullHost = new HostWithFullAcceptQueue();
+                BalancerFixture fixture = new BalancerFixture(slowHost)) {
             fixture.extraTargetsJson.add(fullHost.target());
             fixture.connectTimeoutMs = LONG_TIMEOUT_MS;
             fixture.mayCancelAttempts = false;
@@ -511,10 +521,10 @@
                 release.countDown();
                 assertEquals("VA 16 O1", client.readLine());
                 ServingTest.awaitGauges(fixture, "open 0 ledger 0 ");
-                try (LineSocket peer = fullHost.acceptAfterQueued()) {
+                try (LineSocket connection = fullHost.acceptAfterQueued()) {
                     ServingTest.awaitGauges(fixture, " idle 2");
                     client.write("mg 2 v Onext Pc=read,t=acme,d=9000\r\n");
-                    assertTrue(peer.readLine().contains(" Onext "), "the first command on the connection");
+                    assertTrue(connection.readLine().contains(" Onext "), "the first command on the connection");
                 }
             }
         }
--- a/src/test/java/eiderscale/net/DiscoveryServer.java
+++ b/src/test/java/eiderscale/net/DiscoveryServer.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for discovery: holds a host list with a revision and answers long polls for it. Tests can make it fail,
- * ignore or delay calls. Thread-safe.
+ * A stand-in for discovery: holds a host list with a revision and responds to long polls for it. Tests can make
+ * it fail, ignore or delay calls. Thread-safe.
  */
 final class DiscoveryServer implements AutoCloseable {
     private static final int FIRST_REVISION = 7;
@@ -73,7 +73,7 @@
 
     /**
      * When this revision or a later one was first sent, at {@code since} or after it, to a caller that had not
-     * disconnected; {@link Long#MAX_VALUE} if it was not. Instants are of {@link System#nanoTime}.
+     * disconnected; {@link Long#MAX_VALUE} if it was not. Instants are those of {@link System#nanoTime}.
      */
     long firstSentAt(int minRevision, long since) {
         return sentResponses.stream().filter(response -> response.revision >= minRevision && response.sentAt >= since)
--- a/src/test/java/eiderscale/net/DiscoveryTest.java
+++ b/src/test/java/eiderscale/net/DiscoveryTest.java
@@ -5,6 +5,7 @@
 
 import eiderscale.Api;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -190,8 +191,8 @@
                     continue; // No response until the balancer closes the connection.
                 }
             } else {
-                connection.write(listResponse(41, true,
-                        BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Terminating")));
+                connection.write(
+                        listResponse(41, true, BalancerFixture.targetJson("s-9", "127.0.0.1:9", "Terminating")));
             }
         });
         try (discovery; BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
@@ -272,18 +273,18 @@
         try (BalancerFixture fixture = new BalancerFixture()) {
             site = fixture.siteSettings();
         }
-        HostList ready = parseCatalog(BalancerFixture.targetJson("s-5be2a07c", "127.0.0.1:11211", "Ready"), site);
-        HostList sameUid = parseCatalog(
+        HostList ready = parseHostList(BalancerFixture.targetJson("s-5be2a07c", "127.0.0.1:11211", "Ready"), site);
+        HostList sameUid = parseHostList(
                 BalancerFixture.targetJson("s-5be2a07c", "127.9.0.1:11211", "Terminating"), site);
-        HostList otherUid = parseCatalog(BalancerFixture.targetJson("s-5be2a07d", "127.0.0.1:11211", "Gone"), site);
+        HostList otherUid = parseHostList(BalancerFixture.targetJson("s-5be2a07d", "127.0.0.1:11211", "Gone"), site);
         assertEquals(ready.members().get(0).server().id(), sameUid.members().get(0).server().id());
         assertTrue(ready.members().get(0).server().id() != otherUid.members().get(0).server().id());
         assertEquals(Api.State.DRAINING, sameUid.members().get(0).server().state());
         assertEquals(Api.State.GONE, otherUid.members().get(0).server().state());
     }
 
-    private static HostList parseCatalog(String targetJson, SiteSettings site) {
-        String catalogJson = "{\"rev\":1,\"all\":true,\"targets\":[" + targetJson + "]}";
-        return HostList.parse(Json.parse(catalogJson.getBytes(java.nio.charset.StandardCharsets.UTF_8)), site);
+    private static HostList parseHostList(String targetJson, SiteSettings site) {
+        String listJson = "{\"rev\":1,\"all\":true,\"targets\":[" + targetJson + "]}";
+        return HostList.parse(Json.parse(listJson.getBytes(StandardCharsets.UTF_8)), site);
     }
 }
--- a/src/test/java/eiderscale/net/FaultInjectionTestBase.java
+++ b/src/test/java/eiderscale/net/FaultInjectionTestBase.java
@@ -43,7 +43,7 @@
         fixture.close();
     }
 
-    /** Waits until discovery has handled this many calls since it started. */
+    /** Waits until discovery has got this many calls in all, without those that it failed or ignored on purpose. */
     void awaitDiscoveryCalls(int count) {
         Await.until(() -> discovery.answerableCalls() >= count, count + " calls to discovery");
     }
--- a/src/test/java/eiderscale/net/Faults.java
+++ b/src/test/java/eiderscale/net/Faults.java
@@ -6,6 +6,7 @@
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 
@@ -22,8 +23,10 @@
      * {@code LOG_WRITE} is a write to standard output or standard error; {@code WALL_CLOCK} steps the wall clock and
      * never fails.
      */
-    enum Call { SOCKET, CONNECT, ACCEPT, READ, WRITE, SHUTDOWN, SETSOCKOPT, WAIT, OPEN, FILE_READ, WALL_CLOCK,
-        ANY_FILE_READ, LOG_WRITE, FCNTL, CLOSE }
+    enum Call {
+        SOCKET, CONNECT, ACCEPT, READ, WRITE, SHUTDOWN, SETSOCKOPT, WAIT, OPEN, FILE_READ, WALL_CLOCK, ANY_FILE_READ,
+        LOG_WRITE, FCNTL, CLOSE
+    }
 
     /** In place of an error number: the read or write succeeds but transfers only one byte. */
     static final int PARTIAL_TRANSFER = 0;
@@ -72,8 +75,8 @@
     }
 
     private static synchronized void compile() throws IOException, InterruptedException {
-        if (Files.exists(LIBRARY) && Files.getLastModifiedTime(LIBRARY).compareTo(
-                Files.getLastModifiedTime(SOURCE)) > 0) {
+        if (Files.exists(LIBRARY)
+                && Files.getLastModifiedTime(LIBRARY).compareTo(Files.getLastModifiedTime(SOURCE)) > 0) {
             return;
         }
         Path newLibrary = Files.createTempFile(LIBRARY.getParent(), "fault", ".so");
@@ -82,7 +85,7 @@
         if (compiler.waitFor() != 0) {
             throw new IOException("cannot build with the C compiler (cc): " + SOURCE);
         }
-        Files.move(newLibrary, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(newLibrary, LIBRARY, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Adds the variables that make a process with this environment preload the library and use this table. */
--- a/src/test/java/eiderscale/net/LifecycleTest.java
+++ b/src/test/java/eiderscale/net/LifecycleTest.java
@@ -22,7 +22,7 @@
  */
 class LifecycleTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     @Test
     void stopServesNewClientsForAWhileAndCompletesOpenRequests() throws Exception {
@@ -68,7 +68,7 @@
     @Test
     void processServesAfterSighupAndExitsWithZeroOnSigterm() throws Exception {
         try (BalancerFixture fixture = new BalancerFixture(FakeHost.serving());
-                BalancerProcess process = new BalancerProcess(folder, fixture, null).startAndAwaitServing()) {
+                BalancerProcess process = new BalancerProcess(directory, fixture, null).startAndAwaitServing()) {
             assertTrue(hasWarmedUp(process), "the first clients must not wait for the JIT");
             try (LineSocket client = process.connectClient()) {
                 assertEquals("MN", client.request("mn"));
@@ -94,7 +94,7 @@
     void processSkipsWarmUpWhenFewRequestsAreAllowed() throws Exception {
         try (BalancerFixture fixture = new BalancerFixture(FakeHost.serving())) {
             fixture.allowedRequestsPerSecond = 100;
-            try (BalancerProcess process = new BalancerProcess(folder, fixture, null).startAndAwaitServing()) {
+            try (BalancerProcess process = new BalancerProcess(directory, fixture, null).startAndAwaitServing()) {
                 assertFalse(hasWarmedUp(process));
                 process.sendSignal("TERM");
                 assertEquals(0, process.awaitExit());
@@ -117,10 +117,11 @@
 
     @Test
     void missingOrInvalidConfigurationExitsWithOneLogLine() throws Exception {
-        Path invalidFile = Files.writeString(folder.resolve("broken.json"), "{\"listen\":");
-        for (String config : new String[] {null, folder.resolve("missing.json").toString(), invalidFile.toString()}) {
+        Path invalidFile = Files.writeString(directory.resolve("broken.json"), "{\"listen\":");
+        for (String config : new String[] {
+            null, directory.resolve("missing.json").toString(), invalidFile.toString()}) {
             try (BalancerFixture fixture = new BalancerFixture();
-                    BalancerProcess process = new BalancerProcess(folder, fixture, null).startWithConfig(config)) {
+                    BalancerProcess process = new BalancerProcess(directory, fixture, null).startWithConfig(config)) {
                 assertEquals(1, process.awaitExit());
                 assertEquals(1, process.log().size());
             }
@@ -132,7 +133,7 @@
         try (BalancerFixture fixture = new BalancerFixture();
                 ServerSocket portInUse = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 BalancerProcess process =
-                        new BalancerProcess(folder, fixture, null, portInUse.getLocalPort()).start()) {
+                        new BalancerProcess(directory, fixture, null, portInUse.getLocalPort()).start()) {
             assertEquals(1, process.awaitExit());
             assertEquals(1, process.log().stream().filter(line -> line.contains("cannot start")).count());
         }
--- a/src/test/java/eiderscale/net/LimitsTest.java
+++ b/src/test/java/eiderscale/net/LimitsTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,7 +14,7 @@
  */
 class LimitsTest {
     private static final int MAX_SOCKETS = 64;
-    /** The balancer's share-out of 64 sockets: 48 remain after the reserve, 21 of them for clients and 11 for hosts. */
+    /** How the balancer divides 64 sockets: 48 remain after the reserve, 21 of them for clients and 11 for hosts. */
     private static final int MAX_CLIENT_CONNECTIONS = 21;
     private static final int MAX_HOST_CONNECTIONS = 11;
 
@@ -130,7 +131,7 @@
         }
     }
 
-    /** A client pipelines far more requests than a connection may have open: all are answered, in order. */
+    /** A client pipelines far more requests than a connection may have open: all get replies, in order. */
     @Test
     void pipelinedRequestsAreAllAnsweredWithBoundedConcurrency() throws Exception {
         int requests = 2_000;
@@ -143,7 +144,7 @@
             Thread writer = new Thread(() -> {
                 try {
                     client.write(commands.toString());
-                } catch (java.io.IOException e) {
+                } catch (IOException e) {
                     // The test fails below, as a reply is missing.
                 }
             });
@@ -163,7 +164,7 @@
     @Test
     void balancerStopsReadingFromAClientThatDoesNotReadReplies() throws Exception {
         String value = "v".repeat(60_000);
-        FakeHost host = FakeHost.responding(c -> FakeHost.valueResponse(c, value));
+        FakeHost host = FakeHost.responding(command -> FakeHost.valueResponse(command, value));
         try (BalancerFixture fixture = new BalancerFixture(host).start();
                 LineSocket slow = fixture.connectClientWithSmallBuffer();
                 LineSocket client = fixture.connectClient()) {
--- a/src/test/java/eiderscale/net/LineSocket.java
+++ b/src/test/java/eiderscale/net/LineSocket.java
@@ -4,6 +4,8 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
+import java.net.SocketException;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
 /**
@@ -23,7 +25,7 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Sets the time after which later reads fail with a {@link java.net.SocketTimeoutException}. */
+    /** Sets the time after which later reads fail with a {@link SocketTimeoutException}. */
     void setReadTimeout(int timeoutMs) throws IOException {
         socket.setSoTimeout(timeoutMs);
     }
@@ -47,7 +49,7 @@
                 }
                 line.append((char) c);
             }
-        } catch (java.net.SocketException e) {
+        } catch (SocketException e) {
             return null;
         }
         return null;
@@ -58,7 +60,7 @@
         socket.setSoTimeout(1);
         try {
             return readLine() == null;
-        } catch (java.net.SocketTimeoutException e) {
+        } catch (SocketTimeoutException e) {
             return false;
         } finally {
             socket.setSoTimeout(TIMEOUT_MS);
--- a/src/test/java/eiderscale/net/ModuleIntegrationTest.java
+++ b/src/test/java/eiderscale/net/ModuleIntegrationTest.java
@@ -17,10 +17,10 @@
 /**
  * Guards against faults between the decision module and the sockets: actions carried out in the wrong order, attempts
  * with no outcome, with several or with the wrong one, events delivered while the module is handling another, and
- * requests left unanswered when the module throws or does nothing.
+ * requests left without a reply when the module throws or does nothing.
  */
 class ModuleIntegrationTest {
-    private static final long MS = Clock.MILLISECOND;
+    private static final long MILLISECOND = Clock.MILLISECOND;
     /** The outcomes that the module got, in order. */
     private final BlockingQueue<Api.AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     /** Whether the module got an outcome while it was handling a request. */
@@ -49,8 +49,8 @@
             isHandlingRequest = false;
         }
 
-        /** {@code hostId}: the first host of the list. */
-        void handleRequest(long now, Api.Request request, long hostId) {
+        /** {@code serverId}: the first server of the list. */
+        void handleRequest(long now, Api.Request request, long serverId) {
         }
 
         @Override
@@ -62,16 +62,16 @@
 
     /** What the module does with a request; see {@link RecordingModule#handleRequest}. */
     private interface RequestHandler {
-        void handle(Api.Actions actions, long now, Api.Request request, long hostId);
+        void handle(Api.Actions actions, long now, Api.Request request, long serverId);
     }
 
-    /** A balancer, not started yet, whose module handles requests in this way. */
+    /** A balancer, not yet started, whose module passes requests to the handler. */
     private BalancerFixture newFixture(RequestHandler handler, FakeHost... hosts) {
         BalancerFixture fixture = new BalancerFixture(hosts);
         fixture.moduleFactory = (settings, seed, actions) -> new RecordingModule(actions) {
             @Override
-            void handleRequest(long now, Api.Request request, long hostId) {
-                handler.handle(actions, now, request, hostId);
+            void handleRequest(long now, Api.Request request, long serverId) {
+                handler.handle(actions, now, request, serverId);
             }
         };
         return fixture;
@@ -91,13 +91,13 @@
 
     @Test
     void outcomesAreDeliveredInOrderAfterTheModuleReturns() throws Exception {
-        try (BalancerFixture fixture = newFixture((actions, now, request, hostId) -> {
-            actions.send(request.id(), hostId, 0);
+        try (BalancerFixture fixture = newFixture((actions, now, request, serverId) -> {
+            actions.send(request.id(), serverId, 0);
             actions.cancel(request.id(), 0);
-            actions.send(request.id(), 4711, 0); // A host that is not in the list.
-            actions.send(request.id(), hostId, now - 1);
+            actions.send(request.id(), 4711, 0); // A server that is not in the list.
+            actions.send(request.id(), serverId, now - 1);
             actions.refuse(request.id(), 0);
-            actions.send(request.id(), hostId, 0);
+            actions.send(request.id(), serverId, 0);
             actions.cancel(request.id(), 0);
             actions.cancel(request.id(), 99); // An attempt that does not exist.
         }, FakeHost.serving()).start(); LineSocket client = fixture.connectClient()) {
@@ -109,18 +109,17 @@
             assertFalse(wasReentered);
             assertEquals("MN", client.request("mn"));
             assertNull(outcomes.poll(), "one outcome for each send");
-            assertEquals(0, fixture.hosts.get(0).receivedCommands.size(),
-                    "no attempt of a closed request is sent");
+            assertEquals(0, fixture.hosts.get(0).receivedCommands.size(), "no attempt of a closed request is sent");
         }
     }
 
     @Test
     void attemptsBeyondMaxAttemptsAreNotSent() throws Exception {
-        try (BalancerFixture fixture = newFixture((actions, now, request, hostId) -> {
+        try (BalancerFixture fixture = newFixture((actions, now, request, serverId) -> {
             for (int i = 0; i < 5; i++) {
-                actions.send(request.id(), hostId, 0);
+                actions.send(request.id(), serverId, 0);
             }
-        }, FakeHost.responding(c -> null)).start(); LineSocket client = fixture.connectClient()) {
+        }, FakeHost.responding(command -> null)).start(); LineSocket client = fixture.connectClient()) {
             client.write(BalancerFixture.READ + "\r\n");
             assertNextOutcome(4, Reason.MOOT, false);
             for (int i = 0; i < 4; i++) {
@@ -133,22 +132,23 @@
     @Test
     void clientGetsTheFirstResponseAndNoOther() throws Exception {
         int[] responseCount = new int[1];
-        FakeHost host = FakeHost.responding(c -> responseCount[0]++ == 0 ? null : FakeHost.valueResponse(c, "v"));
-        try (BalancerFixture fixture = newFixture((actions, now, request, hostId) -> {
-            actions.send(request.id(), hostId, 0);
-            actions.scheduleTimer(now + MS, 1);
+        FakeHost host = FakeHost.responding(
+                command -> responseCount[0]++ == 0 ? null : FakeHost.valueResponse(command, "v"));
+        try (BalancerFixture fixture = newFixture((actions, now, request, serverId) -> {
+            actions.send(request.id(), serverId, 0);
+            actions.scheduleTimer(now + MILLISECOND, 1);
         }, host)) {
             Balancer.ModuleFactory recordingModuleFactory = fixture.moduleFactory;
             fixture.moduleFactory = (settings, seed, actions) -> {
                 Api.Events recordingModule = recordingModuleFactory.create(settings, seed, actions);
                 return new NoOpModule(actions) {
                     private long requestId;
-                    private long hostId;
+                    private long serverId;
 
                     @Override
                     public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
                         recordingModule.onServerList(now, mode, servers);
-                        hostId = servers.isEmpty() ? hostId : servers.get(0).id();
+                        serverId = servers.isEmpty() ? serverId : servers.get(0).id();
                     }
 
                     @Override
@@ -160,9 +160,9 @@
                     @Override
                     public void onTimer(long now, int token) {
                         if (responseCount[0] == 0) {
-                            actions.scheduleTimer(now + MS, token);
+                            actions.scheduleTimer(now + MILLISECOND, token);
                         } else {
-                            actions.send(requestId, hostId, 0);
+                            actions.send(requestId, serverId, 0);
                         }
                     }
 
@@ -189,7 +189,8 @@
     @Test
     void requestAndLoadReportAreMappedToModuleValues() throws Exception {
         try (BalancerFixture fixture = newFixture(
-                (actions, now, request, hostId) -> actions.send(request.id(), hostId, 0), FakeHost.serving()).start();
+                (actions, now, request, serverId) -> actions.send(request.id(), serverId, 0),
+                FakeHost.serving()).start();
                 LineSocket client = fixture.connectClient()) {
             long before = Clock.now();
             client.request("ms 00000000000000ff 1 O1 Pc=put,t=acme,d=4000,k=1,r=1,h=250,size=12\r\nx");
@@ -198,7 +199,8 @@
             assertEquals(0, receivedRequest.tenantIndex());
             assertEquals(250_000, receivedRequest.workHintNs());
             assertTrue(receivedRequest.isClientRetry() && receivedRequest.isWrite());
-            assertTrue(receivedRequest.deadline() > before && receivedRequest.deadline() < Clock.now() + 4000 * MS,
+            assertTrue(receivedRequest.deadline() > before
+                            && receivedRequest.deadline() < Clock.now() + 4000 * MILLISECOND,
                     "the deadline counts from when the client sent the request");
             assertEquals(List.of(0.0f), List.of(awaitOutcome().loadReport().length * 0.0f));
             client.request(BalancerFixture.READ);
@@ -213,9 +215,10 @@
     @Test
     void busyOnANewConnectionIsAConnectFailureAndLaterARejection() throws Exception {
         AtomicBoolean isBusy = new AtomicBoolean(true);
-        FakeHost host = FakeHost.responding(c -> isBusy.get() ? "SERVER_ERROR busy\r\n" : FakeHost.responseTo(c));
+        FakeHost host = FakeHost.responding(
+                command -> isBusy.get() ? "SERVER_ERROR busy\r\n" : FakeHost.responseTo(command));
         try (BalancerFixture fixture = newFixture(
-                (actions, now, request, hostId) -> actions.send(request.id(), hostId, 0), host).start();
+                (actions, now, request, serverId) -> actions.send(request.id(), serverId, 0), host).start();
                 LineSocket client = fixture.connectClient()) {
             client.write(BalancerFixture.NON_IDEMPOTENT_WRITE + "\r\n");
             assertEquals(Reason.CONNECT_FAILED, awaitOutcome().reason());
@@ -229,14 +232,14 @@
         }
     }
 
-    /** An exception in the module must neither end the process nor leave a request unanswered. */
+    /** An exception in the module must neither end the process nor leave a request without a reply. */
     @Test
     void requestIsRefusedWhenTheModuleThrows() throws Exception {
-        try (BalancerFixture fixture = newFixture((actions, now, request, hostId) -> {
+        try (BalancerFixture fixture = newFixture((actions, now, request, serverId) -> {
             if (request.classIndex() == 0) {
                 throw new IllegalStateException("thrown by the test before a send");
             }
-            actions.send(request.id(), hostId, 0);
+            actions.send(request.id(), serverId, 0);
         }, FakeHost.serving()).start(); LineSocket client = fixture.connectClient()) {
             assertEquals("SERVER_ERROR busy", client.request(BalancerFixture.READ));
             assertEquals("HD O2 c77", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE));
@@ -246,7 +249,7 @@
     /** A request for which the module never acts must still get its reply in time. */
     @Test
     void requestIgnoredByTheModuleIsRefusedAtItsDeadline() throws Exception {
-        try (BalancerFixture fixture = newFixture((actions, now, request, hostId) -> { }, FakeHost.serving()).start();
+        try (BalancerFixture fixture = newFixture((actions, now, request, serverId) -> { }, FakeHost.serving()).start();
                 LineSocket client = fixture.connectClient()) {
             assertEquals("SERVER_ERROR busy", client.request("mg 1 v O1 Pc=read,t=acme,d=60"));
         }
--- a/src/test/java/eiderscale/net/NoOpModule.java
+++ b/src/test/java/eiderscale/net/NoOpModule.java
@@ -24,11 +24,11 @@
     }
 
     @Override
-    public void onFirstByte(long now, long request, int attempt) {
+    public void onFirstByte(long now, long requestId, int attemptIndex) {
     }
 
     @Override
-    public void onClientGone(long now, long request) {
+    public void onClientGone(long now, long requestId) {
     }
 
     @Override
--- a/src/test/java/eiderscale/net/ServingTest.java
+++ b/src/test/java/eiderscale/net/ServingTest.java
@@ -11,8 +11,8 @@
  * reused, kept or closed when they should be.
  */
 class ServingTest {
-    /** The remaining time that a forwarded command tells the host ({@code d=}), -1 if there is none. */
-    private static int remainingTimeMs(String command) {
+    /** The timeout that a forwarded command states to the host ({@code d=}); -1 if there is none. */
+    private static int statedTimeoutMs(String command) {
         String parameters = command.substring(command.indexOf(" P") + 2).split(" ")[0];
         for (String parameter : parameters.split(",")) {
             if (parameter.startsWith("d=")) {
@@ -31,7 +31,7 @@
             assertEquals("7f3a9c21e0b4d655", client.readData(16));
             String command = fixture.hosts.get(0).awaitCommand();
             assertTrue(command.startsWith("mg 7f3a9c21e0b4d655 v O1 Pc=read,t=acme,d="), command);
-            assertTrue(remainingTimeMs(command) < 5000 && remainingTimeMs(command) > 0,
+            assertTrue(statedTimeoutMs(command) < 5000 && statedTimeoutMs(command) > 0,
                     "forwarded with the remaining time: " + command);
         }
     }
@@ -95,7 +95,7 @@
     @Test
     void requestIsRefusedWhenTheOnlyHostIsBusy() throws Exception {
         try (BalancerFixture fixture = new BalancerFixture(
-                FakeHost.responding(c -> "SERVER_ERROR busy Lutil=1.0\r\n")).start();
+                FakeHost.responding(command -> "SERVER_ERROR busy Lutil=1.0\r\n")).start();
                 LineSocket client = fixture.connectClient()) {
             assertEquals("SERVER_ERROR busy", client.request(BalancerFixture.NON_IDEMPOTENT_WRITE));
         }
@@ -144,7 +144,7 @@
 
     @Test
     void requestToAnUnresponsiveHostIsAnsweredInTimeAndReadsGetARetryAfter() throws Exception {
-        FakeHost host = FakeHost.responding(c -> null);
+        FakeHost host = FakeHost.responding(command -> null);
         try (BalancerFixture fixture = new BalancerFixture(host).start();
                 LineSocket client = fixture.connectClient()) {
             assertEquals("SERVER_ERROR busy 2000", client.request("mg 1 v O1 Pc=read,t=acme,d=150"));
@@ -156,7 +156,7 @@
 
     @Test
     void clientDisconnectCancelsItsAttempts() throws Exception {
-        FakeHost host = FakeHost.responding(c -> null);
+        FakeHost host = FakeHost.responding(command -> null);
         try (BalancerFixture fixture = new BalancerFixture(host).start();
                 LineSocket client = fixture.connectClient()) {
             client.write(BalancerFixture.READ + "\r\n");
@@ -172,7 +172,7 @@
             "VA 99999999 O1\r\n", "VA 1 O1\r\nlonger than one\r\n", "MN\r\n", "a".repeat(5000)};
         int[] index = new int[1];
         try (BalancerFixture fixture = new BalancerFixture(
-                FakeHost.responding(c -> invalidResponses[index[0]])).start();
+                FakeHost.responding(command -> invalidResponses[index[0]])).start();
                 LineSocket client = fixture.connectClient()) {
             for (index[0] = 0; index[0] < invalidResponses.length; index[0]++) {
                 assertEquals("SERVER_ERROR busy", client.request(BalancerFixture.READ), invalidResponses[index[0]]);
@@ -200,7 +200,7 @@
 
     /** Waits until the balancer's gauges contain this text. */
     static void awaitGauges(BalancerFixture fixture, String text) throws Exception {
-        long deadline = System.nanoTime() + LineSocket.TIMEOUT_MS * 1_000_000L;
+        long deadline = System.nanoTime() + LineSocket.TIMEOUT_MS * Clock.MILLISECOND;
         while (!fixture.eventLoop.submit(fixture.node::gauges).get().contains(text) && System.nanoTime() < deadline) {
             Thread.sleep(2);
         }
@@ -247,7 +247,7 @@
     void longestValueIsReturnedComplete() throws Exception {
         String value = "v".repeat(MetaFrame.MAX_VALUE_BYTES);
         try (BalancerFixture fixture = new BalancerFixture(
-                FakeHost.responding(c -> FakeHost.valueResponse(c, value))).start();
+                FakeHost.responding(command -> FakeHost.valueResponse(command, value))).start();
                 LineSocket client = fixture.connectClient()) {
             assertEquals("VA 65536 O1", client.request(BalancerFixture.READ));
             assertEquals(value, client.readData(value.length()));
@@ -256,7 +256,7 @@
 
     @Test
     void requestsBeyondMaxOpenAreRefused() throws Exception {
-        FakeHost host = FakeHost.responding(c -> null);
+        FakeHost host = FakeHost.responding(command -> null);
         try (BalancerFixture fixture = new BalancerFixture(host)) {
             fixture.maxOpenRequests = 1;
             fixture.start();
--- a/src/test/java/eiderscale/net/SignalsTest.java
+++ b/src/test/java/eiderscale/net/SignalsTest.java
@@ -21,7 +21,7 @@
     /** Exit code of a JVM that gets SIGTERM before the program has installed its handler. */
     private static final int SIGTERM_EXIT_CODE = 143;
     @TempDir
-    private Path folder;
+    private Path directory;
     private final CountDownLatch hostMayRespond = new CountDownLatch(1);
     private FakeHost host;
     private BalancerFixture fixture;
@@ -31,7 +31,7 @@
     void setUp() throws IOException {
         host = FakeHost.responding(command -> FakeHost.responseAfter(hostMayRespond, command));
         fixture = new BalancerFixture(host);
-        process = new BalancerProcess(folder, fixture, null);
+        process = new BalancerProcess(directory, fixture, null);
     }
 
     @AfterEach
@@ -44,8 +44,8 @@
     void sigtermRightAfterStartEndsTheProcess() throws Exception {
         process.start();
         process.sendSignal("TERM");
-        int code = process.awaitExit();
-        assertTrue(code == 0 || code == SIGTERM_EXIT_CODE, "exit code " + code);
+        int exitCode = process.awaitExit();
+        assertTrue(exitCode == 0 || exitCode == SIGTERM_EXIT_CODE, "exit code " + exitCode);
     }
 
     /** The allowance is high, so that the process warms up first; it logs that before it listens. */
@@ -54,8 +54,8 @@
         process.start();
         process.awaitLogLine("warm-up took");
         process.sendSignal("TERM");
-        int code = process.awaitExit();
-        assertTrue(code == 0 || code == SIGTERM_EXIT_CODE, "exit code " + code);
+        int exitCode = process.awaitExit();
+        assertTrue(exitCode == 0 || exitCode == SIGTERM_EXIT_CODE, "exit code " + exitCode);
     }
 
     @Test
--- a/src/test/java/eiderscale/net/SlowConnectTest.java
+++ b/src/test/java/eiderscale/net/SlowConnectTest.java
@@ -19,9 +19,7 @@
  * drain grace of its host may end, after which the host must get no more requests.
  */
 class SlowConnectTest {
-    /**
-     * A host whose accept queue is full: new connections to it stay in progress until {@link #acceptAfterQueued}.
-     */
+    /** A host with a full accept queue: new connections stay in progress until {@link #acceptAfterQueued}. */
     static final class HostWithFullAcceptQueue implements AutoCloseable {
         private static final int CONNECT_TIMEOUT_MS = 700;
         private static final int MAX_QUEUED_SOCKETS = 50;
@@ -128,7 +126,8 @@
                 HostList drainingList = HostList.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
                         + host.target().replace("Ready", "Terminating") + "]}").getBytes()),
                         fixture.siteSettings());
-                fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, drainingList.members())).get();
+                fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, drainingList.members()))
+                        .get();
                 try (LineSocket connection = host.acceptAfterQueued()) {
                     assertEquals("SERVER_ERROR busy", client.readLine());
                     assertEquals(null, connection.readLine(), "closed without a command");
@@ -145,16 +144,16 @@
     void noAttemptStartsInTheMarginBeforeTheDrainGraceEnds() throws Exception {
         try (FakeHost host = FakeHost.serving(); BalancerFixture fixture = new BalancerFixture(host)) {
             fixture.drainGraceMs = 1_000;
-            AtomicReference<Api.Server> listedHost = new AtomicReference<>();
+            AtomicReference<Api.Server> listedServer = new AtomicReference<>();
             fixture.moduleFactory = (settings, seed, actions) -> new NoOpModule(actions) {
                 @Override
                 public void onServerList(long now, Api.ListMode mode, List<Api.Server> servers) {
-                    listedHost.set(servers.get(0));
+                    listedServer.set(servers.get(0));
                 }
 
                 @Override
                 public void onRequest(long now, Api.Request request) {
-                    actions.send(request.id(), listedHost.get().id(), request.deadline());
+                    actions.send(request.id(), listedServer.get().id(), request.deadline());
                 }
 
                 @Override
@@ -170,7 +169,8 @@
                 HostList drainingList = HostList.parse(Json.parse(("{\"rev\":8,\"all\":false,\"targets\":["
                         + BalancerFixture.targetJson("s-0", host.endpoint(), "Terminating") + "]}").getBytes()),
                         fixture.siteSettings());
-                fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, drainingList.members())).get();
+                fixture.eventLoop.submit(() -> fixture.node.onHostList(Api.ListMode.DELTA, drainingList.members()))
+                        .get();
                 long drainStartedAt = System.nanoTime();
                 Await.until(() -> System.nanoTime() - drainStartedAt > 720 * Clock.MILLISECOND,
                         "all but the margin of the drain grace to pass");
--- a/src/test/java/eiderscale/net/SoakBalancer.java
+++ b/src/test/java/eiderscale/net/SoakBalancer.java
@@ -10,7 +10,7 @@
 
 /**
  * One balancer of a soak, which injects faults into its process and reloads, stops, kills and restarts it. It has two
- * discovery servers with the same host list; a reload moves the balancer to one of them.
+ * discovery servers with the same host list; a reload switches the balancer to one of them.
  */
 final class SoakBalancer implements AutoCloseable {
     /** One run of the process, from its start to the next start. */
@@ -49,8 +49,8 @@
      * {@code hasIdleClients}: whether {@link #IDLE_CLIENT_COUNT} clients that send nothing hold most of its
      * connections.
      */
-    SoakBalancer(int number, Path directory, BalancerFixture fixture, SoakInvariantChecker checker, boolean hasIdleClients,
-            SplittableRandom random) throws IOException, InterruptedException {
+    SoakBalancer(int number, Path directory, BalancerFixture fixture, SoakInvariantChecker checker,
+            boolean hasIdleClients, SplittableRandom random) throws IOException, InterruptedException {
         this.number = number;
         this.directory = directory;
         this.fixture = fixture;
@@ -68,7 +68,7 @@
         trace.add(checker.millisSinceStart(System.nanoTime()) + " n" + number + " " + event);
     }
 
-    /** What was done to the process, each with the milliseconds since the soak started, and then all that it logged. */
+    /** The events of the process, each with the milliseconds since the soak started, and then all that it logged. */
     List<String> trace() {
         List<String> all = new ArrayList<>(trace);
         processes.forEach(process -> all.addAll(process.log()));
@@ -93,12 +93,12 @@
     }
 
     /**
-     * When discovery first sent this revision of the host list, or a later one, to the process during that run; the
-     * largest number if it did not.
+     * When discovery first sent this revision of the host list, or a later one, to the process during this run;
+     * {@link Long#MAX_VALUE} if it did not.
      */
-    long listSentAt(int revision, ProcessRun during) {
-        return Math.min(discoveries[0].firstSentAt(revision, during.startedAt),
-                discoveries[1].firstSentAt(revision, during.startedAt));
+    long listSentAt(int revision, ProcessRun processRun) {
+        return Math.min(discoveries[0].firstSentAt(revision, processRun.startedAt),
+                discoveries[1].firstSentAt(revision, processRun.startedAt));
     }
 
     ProcessRun currentRun() {
@@ -106,8 +106,8 @@
     }
 
     /** Whether the process may close a connection without reading it: it is stopping, or evicts idle clients. */
-    boolean mayCloseUnread(ProcessRun during) {
-        return hasIdleClients || during.isStopping;
+    boolean mayCloseUnread(ProcessRun processRun) {
+        return hasIdleClients || processRun.isStopping;
     }
 
     /** Opens a client connection to the current process. */
@@ -206,7 +206,7 @@
             LockSupport.parkNanos(5 * Clock.MILLISECOND);
         }
         if (process.isAlive()) {
-            // Not a violation by itself: clients whose requests are unanswered then report these as lost.
+            // Not a violation by itself: clients then report the requests that got no reply as lost.
             addToTrace("SIGKILL");
             process.close();
         } else if (process.awaitExit() != 0) {
@@ -217,8 +217,8 @@
     @Override
     public void close() throws IOException {
         processes.forEach(BalancerProcess::close);
-        for (LineSocket peer : idleClients) {
-            peer.close();
+        for (LineSocket client : idleClients) {
+            client.close();
         }
         for (DiscoveryServer discovery : discoveries) {
             discovery.close();
--- a/src/test/java/eiderscale/net/SoakClient.java
+++ b/src/test/java/eiderscale/net/SoakClient.java
@@ -1,6 +1,7 @@
 package eiderscale.net;
 
 import java.io.IOException;
+import java.net.SocketTimeoutException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -25,13 +26,12 @@
     private LineSocket connection;
     /** The run of the balancer's process that accepted {@link #connection}. */
     private SoakBalancer.ProcessRun processRun;
-    /** Whether a batch has been answered on {@link #connection}. */
+    /** Whether all replies to a batch have been read from {@link #connection}. */
     private boolean hasCompletedBatch;
     private int requestCount;
 
     /** {@code name}: prefix of the ids of its requests; {@code isStopped}: ends {@link #run} once true. */
-    SoakClient(SoakBalancer balancer, SoakInvariantChecker checker, long seed, String name,
-            BooleanSupplier isStopped) {
+    SoakClient(SoakBalancer balancer, SoakInvariantChecker checker, long seed, String name, BooleanSupplier isStopped) {
         this.balancer = balancer;
         this.checker = checker;
         this.random = new SplittableRandom(seed);
@@ -56,7 +56,8 @@
     }
 
     /**
-     * Returns false if the process was restarted meanwhile, as it is then unknown which run accepted the connection.
+     * Connects to the balancer. Returns false if its process was restarted meanwhile, as it is then unknown which run
+     * accepted the connection.
      */
     private boolean connect() throws IOException {
         processRun = balancer.currentRun();
@@ -121,7 +122,7 @@
         String line;
         try {
             line = connection.readLine();
-        } catch (java.net.SocketTimeoutException e) {
+        } catch (SocketTimeoutException e) {
             checker.reportViolation("lost: no reply to " + sent.id + " with a timeout of " + sent.timeoutMs + " ms");
             throw e;
         }
@@ -132,7 +133,7 @@
         checkReply(sent, line);
     }
 
-    /** Checks whether the balancer was allowed to close the connection with this request unanswered. */
+    /** Checks whether the balancer was allowed to close the connection without a reply to this request. */
     private void checkClose(SoakInvariantChecker.SentRequest sent) {
         sent.disconnectedAt = System.nanoTime();
         if (processRun.isKilled) {
--- a/src/test/java/eiderscale/net/SoakFaultSchedule.java
+++ b/src/test/java/eiderscale/net/SoakFaultSchedule.java
@@ -122,9 +122,9 @@
     }
 
     private void stepWallClock() {
-        int step = random.nextBoolean() ? CLOCK_STEP_S : -CLOCK_STEP_S;
-        faults.stepWallClock(step);
-        latestFault = "wall clock " + step + " s";
+        int stepSeconds = random.nextBoolean() ? CLOCK_STEP_S : -CLOCK_STEP_S;
+        faults.stepWallClock(stepSeconds);
+        latestFault = "wall clock " + stepSeconds + " s";
     }
 
     /** Makes the next 0 to 3 attempts to open or read the configuration file fail. */
--- a/src/test/java/eiderscale/net/SoakIncompleteCommandClient.java
+++ b/src/test/java/eiderscale/net/SoakIncompleteCommandClient.java
@@ -35,13 +35,13 @@
     @Override
     public void run() {
         while (!isStopped.getAsBoolean()) {
-            try (LineSocket peer = balancer.connect()) {
-                peer.setReadTimeout(CLOSE_TIMEOUT_MS);
-                if (random.nextBoolean() && peer.request("mn") == null) {
+            try (LineSocket connection = balancer.connect()) {
+                connection.setReadTimeout(CLOSE_TIMEOUT_MS);
+                if (random.nextBoolean() && connection.request("mn") == null) {
                     continue;
                 }
-                peer.write(COMMAND.substring(0, random.nextInt(1, COMMAND.length())));
-                peer.awaitPeerClose();
+                connection.write(COMMAND.substring(0, random.nextInt(1, COMMAND.length())));
+                connection.awaitPeerClose();
                 checker.countOutcome("half told");
             } catch (SocketTimeoutException e) {
                 checker.reportViolation("peer: a connection with an incomplete command was not closed in time");
--- a/src/test/java/eiderscale/net/SoakInvariantChecker.java
+++ b/src/test/java/eiderscale/net/SoakInvariantChecker.java
@@ -4,7 +4,9 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.stream.Collectors;
 
 /**
  * Collects what clients and cache hosts observe of each request in a soak, and checks the invariants: each request gets
@@ -12,15 +14,15 @@
  * grace; the remaining timeout that a host is told does not exceed the client's; nothing is sent for a client that has
  * disconnected.
  *
- * <p>Instants are of {@link System#nanoTime}. Observations and violations may be reported on any thread;
+ * <p>Instants are those of {@link System#nanoTime}. Observations and violations may be reported on any thread;
  * {@link #check} is called once, at the end.
  */
 final class SoakInvariantChecker {
-    /** Added to a time limit where the requests that it applies to travel over sockets. */
+    /** Added to the drain grace for the time that requests travel over sockets. */
     private static final long NETWORK_TOLERANCE_NS = 50 * Clock.MILLISECOND;
     /** Longest time that a balancer or a test thread may stall between reading its clock and writing to a socket. */
     private static final long STALL_TOLERANCE_NS = 150 * Clock.MILLISECOND;
-    /** How much longer than its client a host may be told to wait. */
+    /** How much the timeout stated to a host may exceed the time for which the client still waits. */
     private static final long DEADLINE_TOLERANCE_NS = 150 * Clock.MILLISECOND;
     /** How long after a client has disconnected a host may still receive its request. */
     private static final long DISCONNECT_TOLERANCE_NS = 100 * Clock.MILLISECOND;
@@ -35,7 +37,7 @@
         final boolean isNonIdempotent;
         final long sentAt;
         final long timeoutMs;
-        /** When the connection ended, closed by either end; the largest number while it is open. */
+        /** When the connection ended, closed by either end; {@link Long#MAX_VALUE} while it is open. */
         volatile long disconnectedAt = Long.MAX_VALUE;
 
         SentRequest(String id, SoakBalancer balancer, SoakBalancer.ProcessRun processRun, boolean isNonIdempotent,
@@ -71,7 +73,7 @@
         this.startedAt = startedAt;
     }
 
-    /** Tells when a process is expected to know that a host is draining; the largest number if it never is. */
+    /** Tells when a process is expected to know that a host is draining; {@link Long#MAX_VALUE} if it never is. */
     interface DrainNotificationTimes {
         /** {@code processRun}: the run of the balancer's process. */
         long get(String host, SoakBalancer balancer, SoakBalancer.ProcessRun processRun);
@@ -137,9 +139,9 @@
             checkDrain(arrival, notifications.get(arrival.host, sent.balancer, sent.processRun), graceMs);
         }
         arrivals.stream().filter(arrival -> arrival.mayHaveRun && isNonIdempotent(arrival.id))
-                .collect(java.util.stream.Collectors.groupingBy(Arrival::id)).forEach((id, all) -> {
-                    if (all.size() > 1) {
-                        reportViolation("duplicate: " + id + " ran " + all.size() + " times");
+                .collect(Collectors.groupingBy(Arrival::id)).forEach((id, runs) -> {
+                    if (runs.size() > 1) {
+                        reportViolation("duplicate: " + id + " ran " + runs.size() + " times");
                     }
                 });
     }
@@ -184,7 +186,6 @@
      * request; "half told": it closed a connection because of an incomplete command.
      */
     String summary() {
-        return requests.size() + " requests " + new java.util.TreeMap<>(outcomeCounts) + ", at hosts "
-                + arrivals.size();
+        return requests.size() + " requests " + new TreeMap<>(outcomeCounts) + ", at hosts " + arrivals.size();
     }
 }
--- a/src/test/java/eiderscale/net/SoakScenario.java
+++ b/src/test/java/eiderscale/net/SoakScenario.java
@@ -55,7 +55,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** What was done to the balancers, each with the milliseconds since the soak started, and what they logged. */
+    /** The events of each balancer, with the milliseconds since the soak started, and what it logged. */
     List<String> trace() {
         return balancers.stream().flatMap(balancer -> balancer.trace().stream()).toList();
     }
@@ -71,12 +71,12 @@
         }
         checker = new SoakInvariantChecker(System.nanoTime());
         int count = hasIdleClients() ? 1 : random.nextInt(1, MAX_BALANCERS + 1);
-        String listMode = random.nextBoolean() ? "subscribe" : "automatic";
+        String discoveryMode = random.nextBoolean() ? "subscribe" : "automatic";
         try {
             for (int i = 0; i < count; i++) {
                 Path balancerDirectory = Files.createDirectory(directory.resolve("n" + i));
-                balancers.add(new SoakBalancer(i, balancerDirectory, newFixture(listMode), checker, hasIdleClients(),
-                        random.split()));
+                balancers.add(new SoakBalancer(i, balancerDirectory, newFixture(discoveryMode), checker,
+                        hasIdleClients(), random.split()));
             }
             runSoak();
         } finally {
@@ -90,7 +90,7 @@
         return checker.violations();
     }
 
-    private BalancerFixture newFixture(String listMode) {
+    private BalancerFixture newFixture(String discoveryMode) {
         BalancerFixture fixture = new BalancerFixture(hosts.toArray(FakeHost[]::new));
         fixture.allowedRequestsPerSecond = 100;
         fixture.requestDeadlineMs = REQUEST_TIMEOUT_MS;
@@ -98,7 +98,7 @@
         fixture.connectTimeoutMs = 250;
         fixture.hostIdleTimeoutMs = 3_000;
         fixture.maxSockets = hasIdleClients() ? MAX_SOCKETS_WITH_IDLE_CLIENTS : 1024;
-        fixture.discoveryMode = listMode;
+        fixture.discoveryMode = discoveryMode;
         return fixture;
     }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /** When a process is expected to know that a host is draining; the largest number if the host is not. */
+    /** When a process is expected to know that a host is draining; {@link Long#MAX_VALUE} if it is not draining. */
     private long drainNotifiedAt(String host, SoakBalancer balancer, SoakBalancer.ProcessRun processRun) {
         DrainStart drain = drainStarts.get(host);
         if (drain == null) {
@@ -194,33 +194,34 @@
     }
 
     /**
-     * Starts a cache host that resets the connection on 2 % of the commands, answers 2 % with "busy" and 2 % with
-     * "failed", leaves 1 % unanswered, and serves 8 % after 100 ms and the rest after up to 7 ms.
+     * Starts a cache host that resets the connection on 2 % of the commands, responds to 2 % with "busy" and to 2 %
+     * with "failed", ignores 1 %, and serves 8 % after 100 ms and the rest after up to 7 ms.
      */
     private FakeHost startHost(String uid, long hostSeed) throws IOException {
         SplittableRandom hostRandom = new SplittableRandom(hostSeed);
-        FakeHost[] self = new FakeHost[1];
-        self[0] = new FakeHost(peer -> {
-            for (String command = self[0].readCommand(peer); command != null; command = self[0].readCommand(peer)) {
+        FakeHost[] host = new FakeHost[1];
+        host[0] = new FakeHost(connection -> {
+            for (String command = host[0].readCommand(connection); command != null;
+                    command = host[0].readCommand(connection)) {
                 int percentile;
                 synchronized (hostRandom) {
                     percentile = hostRandom.nextInt(100);
                 }
                 checker.recordArrival(uid, command, percentile < 2 || percentile >= 4);
                 if (percentile < 2) {
-                    peer.reset();
+                    connection.reset();
                     return;
                 } else if (percentile < 4) {
-                    peer.write("SERVER_ERROR busy\r\n");
+                    connection.write("SERVER_ERROR busy\r\n");
                 } else if (percentile < 6) {
-                    peer.write("SERVER_ERROR failed\r\n");
+                    connection.write("SERVER_ERROR failed\r\n");
                 } else if (percentile >= 7) {
                     LockSupport.parkNanos((percentile < 15 ? 100 : percentile % 8) * Clock.MILLISECOND);
-                    peer.write(FakeHost.responseTo(command));
+                    connection.write(FakeHost.responseTo(command));
                 }
             }
         });
-        return self[0];
+        return host[0];
     }
 
     /**
--- a/src/test/java/eiderscale/net/StartupTest.java
+++ b/src/test/java/eiderscale/net/StartupTest.java
@@ -7,7 +7,7 @@
 
 /** Guards against a process that serves clients by an outdated host list, or that waits too long for a newer one. */
 class StartupTest extends FaultInjectionTestBase {
-    /** An automatic watch is expected to know discovery's list from the start, even if discovery responds late. */
+    /** With an automatic watch the latest list must be known from the start, even if discovery responds late. */
     @Test
     void automaticWatchGetsTheLatestListBeforeClientsAreServed() throws Exception {
         fixture.discoveryMode = "automatic";
--- a/src/test/java/eiderscale/net/SystemCallFaultsTest.java
+++ b/src/test/java/eiderscale/net/SystemCallFaultsTest.java
@@ -19,15 +19,15 @@
 
 /**
  * Tests that the balancer keeps serving when system calls fail temporarily with errors that their manual pages list,
- * such as EINTR, ENFILE or ENOBUFS: no request is lost, no watch ends, and no cache host is blamed for a failure on the
- * balancer's own machine.
+ * such as EINTR, ENFILE or ENOBUFS: no request is lost, no watch ends, and no failure on the balancer's own machine
+ * counts against a cache host.
  */
 class SystemCallFaultsTest extends FaultInjectionTestBase {
-    /** Without sockets discovery cannot be called; the watch of the host list must go on once there are some again. */
+    /** Without sockets discovery cannot be called; the watch must resume once sockets can be created again. */
     @ParameterizedTest
     @CsvSource({"subscribe,105", "subscribe,23", "automatic,105", "automatic,23"})
-    void aFailedSocketCallDoesNotEndTheHostListWatch(String listMode, int error) throws Exception {
-        fixture.discoveryMode = listMode;
+    void aFailedSocketCallDoesNotEndTheHostListWatch(String discoveryMode, int error) throws Exception {
+        fixture.discoveryMode = discoveryMode;
         process.startAndAwaitServing();
         awaitDiscoveryCalls(1);
         faults.fail(Call.SOCKET, error, 3);
@@ -223,7 +223,7 @@
         }
     }
 
-    /** After "quit" the balancer sends its FIN with a half-close; the client must see the connection end anyway. */
+    /** After "quit" the balancer sends its FIN with a half-close; if that fails, the connection must end anyway. */
     @Test
     void aFailedHalfCloseStillEndsTheConnection() throws Exception {
         process.startAndAwaitServing();
@@ -369,7 +369,8 @@
         try (LineSocket client = process.connectClient()) {
             client.setReadTimeout(5_000 + REPLY_GRACE_MS);
             faults.fail(Call.CONNECT, Faults.ENETUNREACH, 1, hostPort());
-            assertNotNull(client.request(BalancerFixture.READ), "the client must get a reply though the connection to the host fails");
+            assertNotNull(client.request(BalancerFixture.READ),
+                    "the client must get a reply though the connection to the host fails");
             Await.until(() -> isServed(client), "service while no file can be read");
             host.closeConnections();
             assertNotNull(client.request(BalancerFixture.DEDUPLICATED_WRITE));
@@ -428,7 +429,8 @@
         faults.fail(Call.ACCEPT, Faults.ENFILE, Faults.UNLIMITED, process.port);
         faults.fail(Call.READ, Faults.PARTIAL_TRANSFER, Faults.UNLIMITED, process.port);
         try (LineSocket disconnected = process.connectClient()) {
-            disconnected.write(BalancerFixture.NON_IDEMPOTENT_WRITE + "\r\n" + BalancerFixture.DEDUPLICATED_WRITE + "\r\n");
+            disconnected.write(
+                    BalancerFixture.NON_IDEMPOTENT_WRITE + "\r\n" + BalancerFixture.DEDUPLICATED_WRITE + "\r\n");
         }
         try (LineSocket client = process.connectClient()) {
             client.write(BalancerFixture.READ + "\r\n");
--- a/src/test/java/eiderscale/sim/AdapterTest.java
+++ b/src/test/java/eiderscale/sim/AdapterTest.java
@@ -147,7 +147,7 @@
                 .putShort(16 + 3 * Adapter.EVENT_RECORD_BYTES + 13, (short) 40).array(), "request class 40");
     }
 
-    /** Asserts that the input ends in exit status 1 and a message of malformed input with the expected text. */
+    /** Asserts that the input leads to exit status 1 and to an error message of malformed input with this text. */
     private void assertMalformed(byte[] input, String expectedText) {
         errors.reset();
         assertEquals(1, serve(input));
@@ -155,7 +155,7 @@
         assertTrue(message.contains("malformed") && message.contains(expectedText), message);
     }
 
-    /** Random changes of bytes end in exit status 0 or in an error message, never in a hang or an exception. */
+    /** Randomly changed bytes lead to exit status 0 or to an error message, never to a hang or an exception. */
     @Test
     void randomlyCorruptedInputEndsInAnExitStatus() {
         assertTimeoutPreemptively(Duration.ofSeconds(30), () -> {
@@ -193,7 +193,8 @@
     @Test
     void anEmptyRetryBudgetAllowsNoRetriesAndAMissingOneIsNull() {
         assertEquals(null, SettingsParser.parse("categories.count=1\n").retryBudget());
-        Api.RetryBudget emptyBudget = SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").retryBudget();
+        Api.RetryBudget emptyBudget =
+                SettingsParser.parse("categories.count=1\nguarantees.repeat-ratio=\n").retryBudget();
         assertEquals(0, emptyBudget.minRetries() + emptyBudget.retryRatio());
         assertTrue(SettingsParser.parse("guarantees.key-quiet-ns=\n").keyCooldownNs() > 0,
                 "an empty key-quiet-ns gets the default");
