--- a/src/test/java/eiderscale/SourceSizeLimitsTest.java
+++ b/src/test/java/eiderscale/SourceSizeLimitsTest.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Counts the lines that are neither blank nor part of a comment. A comment next to code does not hide it. */
+    /** Counts the lines that neither are blank nor begin with a comment or inside one. */
     private static int countCodeLines(Path file) throws IOException {
         int codeLines = 0;
         boolean isInsideComment = false;
@@ -52,7 +52,7 @@
             String text = line.strip();
             isInsideComment |= text.startsWith("/*");
             if (isInsideComment) {
-                isInsideComment = !text.endsWith("*/");
+                isInsideComment = !text.contains("*/");
             } else if (!text.isEmpty() && !text.startsWith("//")) {
                 codeLines++;
             }
